--- a/internal/request/admission/load_test.go
+++ b/internal/request/admission/load_test.go
@@ -13,14 +13,17 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
+// browse is the load that most tests play; with sets its rate.
 var browse = load{service: "s", class: "browse", work: 60 * time.Millisecond, aim: 200 * time.Millisecond, deadline: 500 * time.Millisecond, domain: "a"}
 
+// with returns a load at a rate in requests per second.
 func with(l load, perS float64) load {
 	l.perS = perS
 	return l
 }
 
-// TestCalmLoadMeetsItsAim: at half of the capacity nearly everything is in aim.
+// TestCalmLoadMeetsItsAim checks that at half of the capacity nearly all requests meet
+// their aim.
 func TestCalmLoadMeetsItsAim(t *testing.T) {
 	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
 	p.arrive(with(browse, 130), 0, 20*time.Second)
@@ -28,9 +31,9 @@
 	assert.Assert(t, p.share(every, (*played).inAim) > 0.99, "%f", p.share(every, (*played).inAim))
 }
 
-// TestCalmLoadStaysNearby: at a third of the capacity requests stay in their
-// failure domain and on the connections that there are, although targets in the
-// other domain are quicker, and still meet their aim. A busy service uses all.
+// TestCalmLoadStaysNearby checks that at a third of the capacity requests stay in
+// their failure domain and on open connections, although targets in the other domain
+// are quicker, and still meet their aim. A busy service uses all targets.
 func TestCalmLoadStaysNearby(t *testing.T) {
 	nearby := func(perS float64) (inDomain, connected, inAim float64) {
 		p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 16))
@@ -56,16 +59,16 @@
 			p.share(served, reused), p.share(every, (*played).inAim)
 	}
 	inDomain, connected, inAim := nearby(16 * 2 / 0.060 / 3 / 2)
-	assert.Check(t, inDomain > 0.95, "%f stayed in their failure domain", inDomain)
-	assert.Check(t, connected > 0.9, "%f had a connection", connected)
-	assert.Check(t, inAim > 0.99, "%f in aim", inAim)
+	assert.Check(t, inDomain > 0.95, "%f of the requests stayed in their failure domain", inDomain)
+	assert.Check(t, connected > 0.9, "%f of the requests reused a connection", connected)
+	assert.Check(t, inAim > 0.99, "%f of the requests met their aim", inAim)
 	inDomain, _, inAim = nearby(16 * 2 / 0.060 * 0.8)
-	assert.Check(t, inDomain < 0.7, "%f stayed in their failure domain under load", inDomain)
-	assert.Check(t, inAim > 0.95, "%f in aim under load", inAim)
+	assert.Check(t, inDomain < 0.7, "%f of the requests stayed in their failure domain under load", inDomain)
+	assert.Check(t, inAim > 0.95, "%f of the requests met their aim under load", inAim)
 }
 
-// TestOverloadKeepsCapacityForAims: at one and a half times the capacity, what
-// can be served is served in aim, not late.
+// TestOverloadKeepsCapacityForAims checks that at one and a half times the capacity
+// the requests that are served meet their aim: no capacity is spent on late answers.
 func TestOverloadKeepsCapacityForAims(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
 		p := newPlay(usual(), fleetOf(fleet.Service{Name: "s", Keyed: keyed}, 8))
@@ -75,12 +78,12 @@
 		p.arrive(l, 0, 20*time.Second)
 		p.until(21 * time.Second)
 		inAim := p.share(every, (*played).inAim)
-		assert.Assert(t, inAim > 0.85/1.5, "keyed %v: %f of the requests were answered in aim", keyed, inAim)
+		assert.Assert(t, inAim > 0.85/1.5, "keyed %v: %f of the requests met their aim", keyed, inAim)
 	}
 }
 
-// TestRefusalsComeAtOnce: a request that is refused for its deadline is told so
-// within an eighth of its aim, in nearly all cases.
+// TestRefusalsComeAtOnce checks that nearly all requests that cannot meet their
+// deadline are refused within an eighth of their aim.
 func TestRefusalsComeAtOnce(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
 		p := newPlay(usual(), fleetOf(fleet.Service{Name: "s", Keyed: keyed}, 8))
@@ -90,12 +93,12 @@
 		p.until(21 * time.Second)
 		refused := func(r *played) bool { return r.refused != "" }
 		atOnce := p.share(refused, func(r *played) bool { return r.endedAt.Sub(r.arrivedAt) <= l.aim/8 })
-		assert.Assert(t, atOnce > 0.9, "keyed %v: %f of the refusals came at once", keyed, atOnce)
+		assert.Assert(t, atOnce > 0.9, "keyed %v: %f of the refusals came within an eighth of the aim", keyed, atOnce)
 	}
 }
 
-// TestHotOwnerDoesNotDelayOthers: keys of one owner get five times its capacity;
-// requests for other keys meet their aims.
+// TestHotOwnerDoesNotDelayOthers checks that requests for other keys meet their aim
+// while the keys of one owner get five times its capacity.
 func TestHotOwnerDoesNotDelayOthers(t *testing.T) {
 	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s", Keyed: true}, 8))
 	hot, cool := with(browse, 160), with(browse, 100)
@@ -108,8 +111,8 @@
 	assert.Assert(t, others > 0.97, "%f", others)
 }
 
-// TestUrgentRequestsRunFirst: under overload the class of the higher rank is
-// served before the other.
+// TestUrgentRequestsRunFirst checks that under overload requests of the higher
+// priority meet their aim.
 func TestUrgentRequestsRunFirst(t *testing.T) {
 	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 4))
 	urgent, other := with(browse, 60), with(browse, 200)
@@ -121,8 +124,8 @@
 	assert.Assert(t, served > 0.95, "%f", served)
 }
 
-// withCold returns the view after some targets have turned cold; a view itself is
-// not changed once a broker has it.
+// withCold returns a copy of a view in which some targets are cold. A view must not
+// be changed once a broker has it.
 func withCold(view *fleet.View, until time.Time, ids ...string) *fleet.View {
 	next := *view
 	next.Targets = maps.Clone(view.Targets)
@@ -134,8 +137,8 @@
 	return &next
 }
 
-// TestColdTargetIsPaced: a cold target never gets more requests in a second
-// than it bears, whatever the load.
+// TestColdTargetIsPaced checks that a cold target never gets more requests in a
+// second than its limit, whatever the load.
 func TestColdTargetIsPaced(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
 		view := fleetOf(fleet.Service{Name: "s", Keyed: keyed, Cold: 3 * time.Second, ColdRate: 11}, 4)
@@ -149,12 +152,12 @@
 		p.until(5 * time.Second)
 		most := p.mostWithin("t0", time.Second, view.Targets["t0"].ColdUntil)
 		assert.Assert(t, most <= 21, "keyed %v: %d requests within a second", keyed, most)
-		assert.Assert(t, most > 5, "keyed %v: the cold target got nearly nothing: %d", keyed, most)
+		assert.Assert(t, most > 5, "keyed %v: the cold target got only %d requests within a second", keyed, most)
 	}
 }
 
-// TestCautiousBrokerSparesColdTargets: without knowledge of the other VMs'
-// requests nothing is sent to a cold target and nothing repeated.
+// TestCautiousBrokerSparesColdTargets checks that a broker that does not see the
+// requests of other VMs sends nothing to cold targets.
 func TestCautiousBrokerSparesColdTargets(t *testing.T) {
 	view := fleetOf(fleet.Service{Name: "s", ColdRate: 11}, 2)
 	config := usual()
@@ -166,8 +169,8 @@
 	assert.Equal(t, r.target, "")
 }
 
-// TestSlowTargetGetsLess: one of eight targets takes eight times as long; the
-// load of the others allows to spare it.
+// TestSlowTargetGetsLess checks that requests meet their aim although one of eight
+// targets takes eight times as long: the others have the capacity to do without it.
 func TestSlowTargetGetsLess(t *testing.T) {
 	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
 	p.slowness = func(target string, _ time.Time) float64 {
@@ -181,8 +184,8 @@
 	assert.Assert(t, p.share(every, (*played).inAim) > 0.97, "%f", p.share(every, (*played).inAim))
 }
 
-// TestFailingTargetGetsLess: a target that refuses nearly half of its requests
-// while it answers health checks.
+// TestFailingTargetGetsLess checks that a target that refuses nearly half of its
+// requests, while its health checks pass, gets few requests but is tried again.
 func TestFailingTargetGetsLess(t *testing.T) {
 	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
 	p.fails = func(target string) bool { return target == "t3" && p.random.Float64() < 0.45 }
@@ -190,10 +193,11 @@
 	p.until(22 * time.Second)
 	toGrey := p.share(every, func(r *played) bool { return r.target == "t3" })
 	assert.Assert(t, toGrey < 0.5/8, "%f of the requests went to the failing target", toGrey)
-	assert.Assert(t, toGrey > 0, "it was not tried again")
+	assert.Assert(t, toGrey > 0, "the failing target was not tried again")
 }
 
-// TestRepeatsStayWithinTheBudget: half of the requests ask for repeats.
+// TestRepeatsStayWithinTheBudget checks the budget in every window while each request
+// is repeated once.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
 	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
 	for i := range 3000 {
@@ -229,9 +233,9 @@
 	}
 }
 
-// TestBudgetIsNotSpentTwiceWhenTheBrokerChanges: while a part of the targets refuses
-// what it gets, the broker is replaced by one that has adopted its counts as of the
-// last heartbeat. In no window do more repeats run than the budget allows.
+// TestBudgetIsNotSpentTwiceWhenTheBrokerChanges checks that no window has more repeats
+// than the budget allows while targets refuse requests and the broker is replaced by
+// one that has adopted its counts as of the last heartbeat.
 func TestBudgetIsNotSpentTwiceWhenTheBrokerChanges(t *testing.T) {
 	const step, changes, heartbeat = 2 * time.Millisecond, 6 * time.Second, 500 * time.Millisecond
 	var brokers []*admission.Broker
@@ -286,7 +290,8 @@
 	assert.Assert(t, float64(most) > allowed/2, "%d repeats in a window, %.0f allowed", most, allowed)
 }
 
-// TestLargeRequestsStayInTheirDomain while a target there will be free in time.
+// TestLargeRequestsStayInTheirDomain checks that large requests stay in their failure
+// domain while a target there becomes free in time.
 func TestLargeRequestsStayInTheirDomain(t *testing.T) {
 	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
 	l := with(browse, 60)
@@ -298,7 +303,8 @@
 	assert.Assert(t, p.share(every, (*played).inAim) > 0.97)
 }
 
-// TestNothingIsSentToTargetsThatLeave: not from the moment the view says so.
+// TestNothingIsSentToTargetsThatLeave checks that targets that are leaving or in an
+// evacuated failure domain get no requests once the view says so.
 func TestNothingIsSentToTargetsThatLeave(t *testing.T) {
 	view := fleetOf(fleet.Service{Name: "s"}, 4)
 	p := newPlay(usual(), view)
@@ -322,8 +328,8 @@
 	}
 }
 
-// TestPermitWithoutEndIsGivenUp: the slot of an entry that is gone is free again
-// after the request's deadline.
+// TestPermitWithoutEndIsGivenUp checks that a slot held for a VM that has failed is
+// free again after the deadline of the request.
 func TestPermitWithoutEndIsGivenUp(t *testing.T) {
 	var decisions []admission.Decision
 	config := usual()
@@ -337,7 +343,7 @@
 			ID: admission.ID{VM: "gone", Number: i}, Service: "s", Class: "c", Aim: now.Add(200 * time.Millisecond), Deadline: now.Add(time.Second),
 		}, now)
 	}
-	assert.Equal(t, len(decisions), 2, "two slots, one request waits")
+	assert.Equal(t, len(decisions), 2, "two requests have slots, one waits")
 	broker.Forget("gone")
 	broker.Tick(now.Add(1600 * time.Millisecond))
 	now = now.Add(1700 * time.Millisecond)
@@ -348,8 +354,8 @@
 	assert.Equal(t, decisions[2].Refused, admission.Reason(""))
 }
 
-// TestConnectionsAreReused: a VM keeps to targets to which it has connections
-// while they are as good as others.
+// TestConnectionsAreReused checks that a VM prefers targets to which it has
+// connections while they are as good as others.
 func TestConnectionsAreReused(t *testing.T) {
 	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 20))
 	p.vms = 40
@@ -362,6 +368,6 @@
 		last[pair] = r.startedAt
 		return kept
 	})
-	assert.Assert(t, reused > 0.75, "%f of the requests went to a target of the last 7 s", reused)
+	assert.Assert(t, reused > 0.75, "%f of the requests went to a target that their VM used in the last 7 s", reused)
 	assert.Assert(t, p.share(every, (*played).inAim) > 0.98)
 }
--- a/internal/request/admission/play_test.go
+++ b/internal/request/admission/play_test.go
@@ -13,8 +13,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// play is a load played to a broker on a clock of its own. Targets run what
-// they are given: each request takes its work times the target's slowness.
+// play simulates a load on a broker in virtual time. Targets run every request that
+// is permitted: it takes its work times the target's slowness.
 type play struct {
 	broker *admission.Broker
 	view   *fleet.View
@@ -23,17 +23,18 @@
 	random *rand.Rand
 	events agenda
 	number uint64
-	// vms is the number of VMs that send; 0 means one.
+	// vms is the number of VMs that send requests; 0 means one.
 	vms int
-	// slowness of a target at a moment; nil means 1.
+	// slowness returns the slowness of a target at a time; nil means 1.
 	slowness func(target string, now time.Time) float64
 	// fails reports whether a target refuses a request.
 	fails func(target string) bool
-	open  map[uint64]*played
-	done  []*played
+	// open holds the requests that are queued or in flight, done the finished ones.
+	open map[uint64]*played
+	done []*played
 }
 
-// played is one request and what became of it.
+// played is one request and its outcome.
 type played struct {
 	admission.Request
 	work      time.Duration
@@ -47,11 +48,13 @@
 
 func (p *played) inAim() bool { return p.refused == "" && !p.endedAt.After(p.Aim) }
 
+// happening is a scheduled action of the simulation.
 type happening struct {
 	at time.Time
 	do func()
 }
 
+// agenda is a heap of scheduled actions, the earliest first.
 type agenda []happening
 
 func (a agenda) Len() int           { return len(a) }
@@ -65,7 +68,7 @@
 	return last
 }
 
-// tickEvery is the interval at which the broker's owner calls Tick.
+// tickEvery is the interval at which Tick is called.
 const tickEvery = 10 * time.Millisecond
 
 func newPlay(config admission.Config, view *fleet.View) *play {
@@ -79,9 +82,11 @@
 	return p
 }
 
+// at schedules an action.
 func (p *play) at(t time.Time, do func()) { heap.Push(&p.events, happening{t, do}) }
 
-// until plays everything up to a time after the start.
+// until runs the simulation with ticks up to a time after the start, and then until
+// no actions are left.
 func (p *play) until(after time.Duration) {
 	end := p.start.Add(after)
 	var tick func()
@@ -99,7 +104,7 @@
 	}
 }
 
-// load describes requests that arrive at random.
+// load describes requests that arrive as a Poisson process at perS per second.
 type load struct {
 	service  string
 	class    string
@@ -113,7 +118,7 @@
 	key      func(*rand.Rand) uint16
 }
 
-// arrive plays a load from one time after the start to another.
+// arrive schedules the arrivals of a load between two times after the start.
 func (p *play) arrive(l load, from, to time.Duration) {
 	for at := from; ; {
 		at += time.Duration(p.random.ExpFloat64() / l.perS * float64(time.Second))
@@ -124,9 +129,10 @@
 	}
 }
 
+// ask asks for a permit for a request of a load.
 func (p *play) ask(l load) *played { return p.askFor(l, false) }
 
-// askRepeat asks for a request that was sent before.
+// askRepeat asks for a permit for a request that has been sent before.
 func (p *play) askRepeat(l load) *played { return p.askFor(l, true) }
 
 func (p *play) askFor(l load, repeat bool) *played {
@@ -146,7 +152,7 @@
 	return r
 }
 
-// decided runs a permitted request at its target.
+// decided runs a permitted request at its target and finishes a refused one.
 func (p *play) decided(d admission.Decision) {
 	r := p.open[d.ID.Number]
 	if d.Refused != "" {
@@ -175,7 +181,8 @@
 	p.done = append(p.done, r)
 }
 
-// share returns the share of the finished requests for which a condition holds.
+// share returns the share of the finished requests selected by of for which a
+// condition holds; NaN if none are selected.
 func (p *play) share(of func(*played) bool, holds func(*played) bool) float64 {
 	all, found := 0, 0
 	for _, r := range p.done {
@@ -195,8 +202,8 @@
 
 func every(*played) bool { return true }
 
-// mostWithin returns the largest number of starts at a target in any window
-// before the given time.
+// mostWithin returns the largest number of requests that a target started in any
+// window before the given time.
 func (p *play) mostWithin(target string, window time.Duration, until time.Time) int {
 	var starts []time.Time
 	for _, r := range p.done {
@@ -215,8 +222,8 @@
 	return most
 }
 
-// fleetOf returns a view with targets of two slots for one service, spread over
-// two failure domains.
+// fleetOf returns a view with count targets of two slots each for one service, spread
+// over two failure domains. The targets of a keyed service own equal slices.
 func fleetOf(service fleet.Service, count int) *fleet.View {
 	config := &fleet.Config{Version: 1, Services: []fleet.Service{service}}
 	config.Index()
--- a/internal/request/admission/scale_test.go
+++ b/internal/request/admission/scale_test.go
@@ -12,9 +12,9 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// TestManyTargetsServeAsFewDo: 400 targets, a third of them slow, and 150 VMs, at two
-// thirds of the capacity and a moment above it. Requests meet their aim as they do
-// at 54 targets, and a VM uses a part of the targets.
+// TestManyTargetsServeAsFewDo checks that requests to 400 targets, a third of them
+// slow, from 150 VMs meet their aim as often as with 54 targets, at two thirds of the
+// capacity and a short peak above it, and that a VM uses only a part of the targets.
 func TestManyTargetsServeAsFewDo(t *testing.T) {
 	served := func(targets, vms int) (inAim, afterwards float64, used map[string]map[string]bool) {
 		p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, targets))
@@ -36,18 +36,18 @@
 	}
 	few, fewAfterwards, _ := served(54, 18)
 	many, manyAfterwards, used := served(400, 150)
-	assert.Check(t, many > few-0.02, "%.3f in aim, %.3f at 54 targets", many, few)
-	assert.Check(t, manyAfterwards > fewAfterwards-0.005, "%.3f after the peak, %.3f at 54 targets", manyAfterwards, fewAfterwards)
+	assert.Check(t, many > few-0.02, "%.3f of the requests met their aim, %.3f with 54 targets", many, few)
+	assert.Check(t, manyAfterwards > fewAfterwards-0.005, "%.3f of the requests after the peak met their aim, %.3f with 54 targets", manyAfterwards, fewAfterwards)
 	pairs := 0
 	for _, targets := range used {
 		pairs += len(targets)
 	}
-	assert.Check(t, pairs/len(used) < 300, "%d targets used by a VM", pairs/len(used))
+	assert.Check(t, pairs/len(used) < 300, "a VM used %d targets on average", pairs/len(used))
 }
 
-// TestCostOfAPermitDoesNotGrowWithTheTargets: the broker of a large fleet gives out
-// thousands of permits a second. The bound is on the ratio, measured side by side,
-// the best of three.
+// TestCostOfAPermitDoesNotGrowWithTheTargets guards the CPU time of a permit: the
+// broker of a large fleet grants thousands a second. The bound is on the ratio of the
+// costs in a large and a small fleet, measured side by side, the best of three runs.
 func TestCostOfAPermitDoesNotGrowWithTheTargets(t *testing.T) {
 	perRequest := func(targets int) time.Duration {
 		best := time.Hour
@@ -59,12 +59,13 @@
 		return best
 	}
 	few, many := perRequest(54), perRequest(900)
-	assert.Assert(t, many < 6*few, "%v at 900 targets, %v at 54", many, few)
+	assert.Assert(t, many < 6*few, "%v per permit with 900 targets, %v with 54", many, few)
 }
 
-// TestOwnersChangeAtLittleCost: while keys are given out the leader publishes a view
-// for every few grants, and while VMs start for each of them; the targets stay the
-// same. The bound is on the ratio, measured side by side, the best of ten.
+// TestOwnersChangeAtLittleCost guards the cost of views in which only the owners of
+// keys differ: the leader publishes one for every few grants while it assigns keys, and
+// one for each VM that starts. The bound is on the ratio to a view with other targets,
+// measured side by side, the best of ten runs.
 func TestOwnersChangeAtLittleCost(t *testing.T) {
 	now := time.Unix(1700000000, 0)
 	view := fleetOf(fleet.Service{Name: "s", Keyed: true}, 3000)
@@ -81,10 +82,11 @@
 		targets = min(targets, update(next))
 		owners = min(owners, update(next))
 	}
-	assert.Assert(t, 10*owners < targets, "%v with the same targets, %v with others", owners, targets)
+	assert.Assert(t, 10*owners < targets, "%v for a view with the same targets, %v with other targets", owners, targets)
 }
 
-// givePermits asks for permits of a service of which a third of the slots is in use.
+// givePermits requests count permits of a service of which a third of the slots is in
+// use.
 func givePermits(targets, count int) {
 	now := time.Unix(1700000000, 0)
 	broker := admission.New(admission.Config{Decide: func(admission.Decision) {}, ColdFactor: 1})
@@ -102,7 +104,7 @@
 	}
 }
 
-// BenchmarkPermit shows what one request costs a broker.
+// BenchmarkPermit measures the cost of one request in a broker.
 func BenchmarkPermit(b *testing.B) {
 	for _, targets := range []int{54, 300, 900} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) { givePermits(targets, b.N) })
