--- a/internal/process/permits/desk.go
+++ b/internal/process/permits/desk.go
@@ -1,6 +1,7 @@
-// Package permits carries requests for permits to the broker of a service and
-// the permits back, and stands in with decisions on own knowledge while the
-// broker does not answer.
+// Package permits obtains permits for this VM's requests from the broker of each
+// service, and runs the broker of the services that are assigned to this VM.
+// While a remote broker does not answer, requests are decided locally from what
+// this VM knows.
 package permits
 
 import (
@@ -18,67 +19,77 @@
 )
 
 const (
-	// answerWithin is how long a broker may take for a first word, several round
+	// answerWithin is how long a broker may take for its first reply: several round
 	// trips between failure domains.
 	answerWithin = 60 * time.Millisecond
-	// distrust is how long a broker is not asked after it gave no word.
+	// distrust is how long a broker is not asked after it has failed to reply.
 	distrust = 500 * time.Millisecond
-	// askAgain is how long a request that this VM cannot decide waits for a first word
-	// before it is asked anew: the question may have been lost with its session.
+	// askAgain is how long a request that only the broker can decide waits for the
+	// first reply before it is sent again: the message may have been lost with its
+	// session.
 	askAgain = distrust
-	// queuedCheck is the interval at which a queued request looks whether its
-	// broker is still heard.
+	// queuedCheck is the interval at which a waiting request checks whether its
+	// broker is still alive.
 	queuedCheck = 100 * time.Millisecond
-	// firstNumbers is the number of numbers from which a process of a VM draws its
-	// first: too many for two processes to meet, in few bytes.
+	// firstNumbers is the size of the range from which a process draws its first
+	// request number: large enough that consecutive processes of a VM do not
+	// collide, small enough for a short encoding.
 	firstNumbers = 1 << 48
-	// tickEvery is the interval at which the broker looks at what waits.
+	// tickEvery is the interval at which the brokers of this VM are ticked.
 	tickEvery = 10 * time.Millisecond
 )
 
 // Config configures a Desk.
 type Config struct {
-	Self   string
+	// Self is the name of this VM.
+	Self string
+	// Broker configures the brokers of this VM; New sets Decide, Serve and
+	// Cautious.
 	Broker admission.Config
 	Sender peer.ControlSender
-	// View returns the present view.
+	// View returns the current view.
 	View func() *fleet.View
-	// Hears reports whether a VM has been heard lately.
+	// Hears reports whether messages from a VM have arrived recently.
 	Hears func(vm string) bool
 }
 
-// Desk is one VM's part in the giving out of permits: the broker of some
-// services, and the client of the brokers of the others.
+// Desk obtains and grants permits on one VM: it is the broker of the services that
+// are assigned to the VM, and a client of the brokers of the others. It is safe
+// for concurrent use.
 type Desk struct {
 	config Config
-	// number is that of the last own request. It begins at random, since a broker may
-	// still have requests of a former process of this VM.
+	// number is the number of this VM's last request. It starts at a random value
+	// because a broker may still hold requests of a previous process of this VM.
 	number atomic.Uint64
 
 	mu sync.Mutex
-	// broker serves other VMs; alone stands in for brokers that do not answer. They
-	// have the view in following; one that has nothing to do follows the latest once
-	// it is asked.
+	// broker decides for all VMs. alone decides for this VM only, in place of remote
+	// brokers that do not answer. following holds the view that each of them has
+	// applied: an idle one applies the latest only when it gets a request.
 	broker    *admission.Broker
 	alone     *admission.Broker
 	latest    *fleet.View
 	following map[*admission.Broker]*fleet.View
-	demand    map[string]*keyspace.Load
-	// waiting are the own requests without a decision.
+	// demand is the measured demand for keys, by service.
+	demand map[string]*keyspace.Load
+	// waiting holds this VM's requests without a decision. queued marks those that
+	// a remote broker has confirmed as queued, and distrust holds the time before
+	// which a broker is not asked.
 	waiting  map[uint64]chan admission.Decision
 	queued   map[uint64]bool
 	distrust map[string]time.Time
 	ticking  bool
-	// replies are the messages to send once the lock is free.
+	// replies are the messages to send after mu has been released.
 	replies []reply
 }
 
+// reply is a message to another VM.
 type reply struct {
 	vm      string
 	message *peerv1.PermitReply
 }
 
-// New returns a desk without targets.
+// New returns a desk without targets; Update sets them.
 func New(config Config) *Desk {
 	d := &Desk{
 		config: config, demand: map[string]*keyspace.Load{}, waiting: map[uint64]chan admission.Decision{},
@@ -99,11 +110,13 @@
 // Permit is the right to send one request to a target.
 type Permit struct {
 	admission.Decision
-	// Broker is the VM that gave the permit; empty if this VM decided alone.
+	// Broker is the VM whose broker granted the permit; empty if this VM decided
+	// without the broker.
 	Broker string
 }
 
-// Update follows a new view.
+// Update sets the latest view. Brokers without requests apply it later, when they
+// are asked.
 func (d *Desk) Update(view *fleet.View) {
 	now := time.Now()
 	d.mu.Lock()
@@ -117,7 +130,7 @@
 	d.flush()
 }
 
-// follow brings a broker up to the latest view; the lock is held.
+// follow applies the latest view to a broker. The caller holds mu.
 func (d *Desk) follow(b *admission.Broker, now time.Time) {
 	if d.latest != nil && d.following[b] != d.latest {
 		d.following[b] = d.latest
@@ -125,8 +138,8 @@
 	}
 }
 
-// Acquire asks for a permit. The decision may be a refusal. The error is that
-// of the context.
+// Acquire requests a permit and waits for the decision, which may be a refusal. It
+// sets the ID of the request. The only error is that of the context.
 func (d *Desk) Acquire(ctx context.Context, r admission.Request) (Permit, error) {
 	for {
 		broker := d.config.View().Brokers[r.Service]
@@ -143,14 +156,16 @@
 	}
 }
 
-// needs reports whether only the broker, which lives, can let a request run: one that
-// decides alone sends to no cold target, and owners of keys reach this VM up to a second
-// after the broker. A repeat does not wait: it is refused where its broker is late.
+// needs reports whether a request must wait for a slow broker because only the
+// broker, which must be alive, can permit it: a local decision sends nothing to cold
+// targets, and a change of the owner of a key reaches this VM up to a second after
+// the broker. Repeats do not wait: they are refused while the broker is slow.
 func (d *Desk) needs(broker string, r *admission.Request) bool {
 	return !r.Repeat && d.config.Hears(broker) && !hasWarmTarget(d.config.View(), r, time.Now())
 }
 
-// hasWarmTarget reports whether a view has a target for a request that is not cold.
+// hasWarmTarget reports whether a view has a usable target for a request that is
+// not cold.
 func hasWarmTarget(view *fleet.View, r *admission.Request, now time.Time) bool {
 	if view.Config == nil {
 		return false
@@ -172,13 +187,15 @@
 	return false
 }
 
+// trusts reports whether a broker may be asked, that is, whether its last failure to
+// reply is long enough ago.
 func (d *Desk) trusts(broker string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Now().After(d.distrust[broker])
 }
 
-// register gives a request its ID and a channel for the decision.
+// register assigns an ID to a request and returns the channel for its decision.
 func (d *Desk) register(r *admission.Request) chan admission.Decision {
 	r.ID = admission.ID{VM: d.config.Self, Number: d.number.Add(1)}
 	answer := make(chan admission.Decision, 1)
@@ -188,6 +205,7 @@
 	return answer
 }
 
+// forget undoes register.
 func (d *Desk) forget(number uint64) {
 	d.mu.Lock()
 	delete(d.waiting, number)
@@ -195,7 +213,8 @@
 	d.mu.Unlock()
 }
 
-// acquireHere asks a broker of this VM.
+// acquireHere gets a decision from a broker of this VM; name becomes the broker of
+// the permit.
 func (d *Desk) acquireHere(ctx context.Context, r admission.Request, b *admission.Broker, name string) (Permit, error) {
 	answer := d.register(&r)
 	defer d.forget(r.ID.Number)
@@ -209,7 +228,8 @@
 	}
 }
 
-// acquireFrom asks another VM's broker. decided is false if it gave no word.
+// acquireFrom gets a decision from the broker of another VM. The boolean is false if
+// the broker did not reply in time, so that the request has to be decided again.
 func (d *Desk) acquireFrom(ctx context.Context, broker string, r admission.Request) (Permit, bool, error) {
 	answer := d.register(&r)
 	defer d.forget(r.ID.Number)
@@ -244,7 +264,8 @@
 	return d.queued[number]
 }
 
-// End gives a permit back with the result of its request.
+// End returns a permit with the result of its request. took is the time from
+// sending to the answer; load is the load that the target reported, if hasLoad.
 func (d *Desk) End(p Permit, result admission.Result, took time.Duration, load fleet.Load, hasLoad bool) {
 	end := admission.End{ID: p.ID, Result: result, Took: took, Load: load, HasLoad: hasLoad}
 	switch p.Broker {
@@ -257,6 +278,7 @@
 	}
 }
 
+// endHere reports an end to a broker of this VM.
 func (d *Desk) endHere(b *admission.Broker, end admission.End) {
 	d.mu.Lock()
 	b.End(end, time.Now())
@@ -264,6 +286,7 @@
 	d.flush()
 }
 
+// endAt reports an end to the broker of another VM.
 func (d *Desk) endAt(broker string, end admission.End) {
 	message := &peerv1.PermitEnd{
 		Number: end.ID.Number, Result: peerv1.PermitResult(end.Result), ServiceMicros: uint32(end.Took.Microseconds()),
@@ -277,7 +300,9 @@
 	d.config.Sender.Send(broker, &peerv1.Control{Kind: &peerv1.Control_PermitEnd{PermitEnd: message}})
 }
 
-// ask puts a request to a broker of this VM and counts the demand for its key.
+// ask submits a request to a broker of this VM. If the broker decides for all VMs,
+// ask also records the demand for the key and confirms a queued request to the VM
+// that sent it.
 func (d *Desk) ask(b *admission.Broker, r admission.Request) {
 	now := time.Now()
 	d.mu.Lock()
@@ -294,6 +319,8 @@
 	d.flush()
 }
 
+// countDemand adds the expected work of a first attempt to the demand for its key.
+// The caller holds mu.
 func (d *Desk) countDemand(r admission.Request, now time.Time) {
 	config := d.config.View().Config
 	if config == nil || r.Repeat {
@@ -306,7 +333,8 @@
 	d.loadOf(r.Service, now).Add(r.Key, d.broker.Work(r.Service, r.Class))
 }
 
-// Demand hands out the measured demand for the keys of a service.
+// Demand calls use with the measured demand for the keys of a service. The value
+// must not be used after use has returned.
 func (d *Desk) Demand(service string, now time.Time, use func(*keyspace.Load)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -315,7 +343,7 @@
 	use(load)
 }
 
-// loadOf returns the measured demand for a service; the lock is held.
+// loadOf returns the measured demand for a service. The caller holds mu.
 func (d *Desk) loadOf(service string, now time.Time) *keyspace.Load {
 	load := d.demand[service]
 	if load == nil {
@@ -325,15 +353,15 @@
 	return load
 }
 
-// Repeats returns the use of the own broker's budgets.
+// Repeats returns the retry budget use of the services whose broker is this VM.
 func (d *Desk) Repeats(now time.Time) map[string]admission.RepeatCount {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.broker.Repeats(now)
 }
 
-// AdoptRepeats counts what the broker in whose place this VM's serves had let run
-// when it was last heard.
+// AdoptRepeats takes over the counts of the broker that this VM replaces, as of the
+// last heartbeat received from it.
 func (d *Desk) AdoptRepeats(counts map[string]admission.RepeatCount, heard time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -342,7 +370,8 @@
 	d.broker.AdoptRepeats(counts, heard, now)
 }
 
-// Observe returns what the own broker has measured of a target.
+// Observe returns what the broker of this VM has measured of a target; false if the
+// target is unknown.
 func (d *Desk) Observe(service, target string) (admission.Observation, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -350,7 +379,8 @@
 	return d.broker.Observe(service, target)
 }
 
-// decided passes a decision on; the lock is held.
+// decided passes a decision to the waiting request of this VM, or queues a reply to
+// the VM that asked. The caller holds mu.
 func (d *Desk) decided(decision admission.Decision) {
 	if decision.ID.VM != d.config.Self {
 		d.replies = append(d.replies, reply{decision.ID.VM, decisionToWire(decision)})
@@ -364,7 +394,7 @@
 	}
 }
 
-// flush sends the messages that were collected under the lock.
+// flush sends the replies that were collected under mu. The caller must not hold mu.
 func (d *Desk) flush() {
 	d.mu.Lock()
 	replies := d.replies
@@ -375,7 +405,8 @@
 	}
 }
 
-// startTicking looks at what waits until nothing does; the lock is held.
+// startTicking schedules the next tick if a broker has any request. The caller holds
+// mu.
 func (d *Desk) startTicking() {
 	if d.ticking || !d.broker.Busy() && !d.alone.Busy() {
 		return
@@ -395,7 +426,8 @@
 	d.flush()
 }
 
-// Handle takes a message of another VM. It reports whether it was for the desk.
+// Handle processes a message from another VM. It reports whether the message was for
+// the desk.
 func (d *Desk) Handle(from peer.Peer, message *peerv1.Control) bool {
 	switch kind := message.Kind.(type) {
 	case *peerv1.Control_PermitRequest:
@@ -410,7 +442,7 @@
 	return true
 }
 
-// receive takes a broker's word on an own request.
+// receive processes a broker's reply to a request of this VM.
 func (d *Desk) receive(broker string, message *peerv1.PermitReply) {
 	d.mu.Lock()
 	answer := d.waiting[message.Number]
@@ -432,12 +464,13 @@
 	}
 	d.mu.Unlock()
 	if !delivered && decision.Refused == "" {
-		// The request was given up meanwhile.
+		// The request was abandoned in the meantime, or already has a decision.
 		d.endAt(broker, admission.End{ID: decision.ID, Result: admission.Canceled})
 	}
 }
 
-// Forget withdraws what waits here for a VM that is gone.
+// Forget withdraws the requests of a VM that has left or failed from the queues of
+// this VM's broker.
 func (d *Desk) Forget(vm string) {
 	d.mu.Lock()
 	d.broker.Forget(vm)
--- a/internal/process/permits/desk_test.go
+++ b/internal/process/permits/desk_test.go
@@ -22,11 +22,11 @@
 type network struct {
 	mu    sync.Mutex
 	desks map[string]*permits.Desk
-	// cut holds the VMs without a path.
+	// cut holds the VMs that can neither send nor receive messages.
 	cut map[string]bool
-	// takes is how long messages take; 0 for a few milliseconds.
+	// takes is the delay of a message, at least 2 ms.
 	takes time.Duration
-	// deaf is set while no VM hears the broker.
+	// deaf is set while no VM considers the broker alive.
 	deaf bool
 }
 
@@ -51,9 +51,10 @@
 }
 
 func (s sender) Call(context.Context, string, *peerv1.Control) (*peerv1.Control, error) {
-	panic("desks make no calls")
+	panic("permits: unexpected call")
 }
 
+// view returns a view with one target of one slot, t0, for service s.
 func view() *fleet.View {
 	config := &fleet.Config{Version: 1, Services: []fleet.Service{{Name: "s"}}}
 	config.Index()
@@ -74,7 +75,7 @@
 	return n
 }
 
-// start starts the desk of a VM, in the place of the former one if there is one.
+// start starts the desk of a VM. It replaces the previous desk of the VM, if any.
 func (n *network) start(vm string, shared *fleet.View) {
 	desk := permits.New(permits.Config{
 		Self: vm, Sender: sender{n, vm}, View: func() *fleet.View { return shared },
@@ -96,7 +97,8 @@
 	return admission.Request{Service: "s", Class: "c", Aim: now.Add(200 * time.Millisecond), Deadline: now.Add(500 * time.Millisecond)}
 }
 
-// TestOneSlotIsSharedByAllVMs: the second VM waits until the first is done.
+// TestOneSlotIsSharedByAllVMs checks that a request of a second VM waits until the
+// request of the first has ended.
 func TestOneSlotIsSharedByAllVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork("broker", "a", "b")
@@ -117,7 +119,8 @@
 	})
 }
 
-// TestSilentBrokerIsReplacedByOwnDecisions within a fraction of the aim.
+// TestSilentBrokerIsReplacedByOwnDecisions checks that requests are decided locally
+// within a fraction of their aim if the broker does not reply.
 func TestSilentBrokerIsReplacedByOwnDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork("broker", "a")
@@ -133,7 +136,8 @@
 	})
 }
 
-// TestBrokerLostWhileARequestWaits: the request goes on without it.
+// TestBrokerLostWhileARequestWaits checks that a queued request is decided locally
+// once its broker is lost.
 func TestBrokerLostWhileARequestWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork("broker", "a", "b")
@@ -152,7 +156,8 @@
 	})
 }
 
-// TestCallerThatLeavesGivesItsPlaceUp.
+// TestCallerThatLeavesGivesItsPlaceUp checks that a canceled request leaves the
+// queue of the broker.
 func TestCallerThatLeavesGivesItsPlaceUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork("broker", "a", "b")
@@ -173,7 +178,8 @@
 	})
 }
 
-// keyedView has a keyed service; owned is set if the owner of the keys is known.
+// keyedView returns a view in which s is keyed; t0 owns all keys if owned is set,
+// otherwise nobody does.
 func keyedView(owned bool) *fleet.View {
 	v := view()
 	v.Config.Services[0].Keyed = true
@@ -184,7 +190,8 @@
 }
 
 // startLate starts a broker that knows the owner of the keys and a VM that does not
-// yet; messages take longer than a broker has for a first word.
+// know it yet. A round trip takes longer than the time that a broker has for its
+// first reply.
 func startLate() *network {
 	n := newNetwork()
 	n.takes = 40 * time.Millisecond
@@ -193,8 +200,8 @@
 	return n
 }
 
-// TestLateBrokerDecidesWhatOnlyItKnows: a VM that does not know the owner of a key yet
-// refuses nothing while the broker that knows it is alive.
+// TestLateBrokerDecidesWhatOnlyItKnows checks that a VM that does not know the owner
+// of a key yet refuses no requests for it while the broker is alive.
 func TestLateBrokerDecidesWhatOnlyItKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := startLate()
@@ -211,8 +218,9 @@
 	})
 }
 
-// TestLateBrokerDecidesOnColdTargets, to which a VM alone sends nothing. Repeats are
-// refused, as without a broker.
+// TestLateBrokerDecidesOnColdTargets checks that requests wait for a slow broker if
+// only cold targets are left, which local decisions do not use. Repeats are refused,
+// as without a broker.
 func TestLateBrokerDecidesOnColdTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -235,7 +243,8 @@
 	})
 }
 
-// TestLostQuestionIsAskedAgain while the broker is heard, within the deadline.
+// TestLostQuestionIsAskedAgain checks that a lost request message is sent again
+// within the deadline while the broker is alive.
 func TestLostQuestionIsAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := startLate()
@@ -257,8 +266,8 @@
 	})
 }
 
-// TestUnheardBrokerIsNotAwaited: without a sign of the broker the caller gets its
-// refusal at once and may go elsewhere.
+// TestUnheardBrokerIsNotAwaited checks that a request is refused at once if the broker
+// does not seem to be alive, so that the caller can try another VM.
 func TestUnheardBrokerIsNotAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := startLate()
@@ -272,7 +281,9 @@
 	})
 }
 
-// TestRequestOfAFormerProcessIsNotAnswered to the next process of its VM, which would send its own request to the target of another service.
+// TestRequestOfAFormerProcessIsNotAnswered checks that a decision on a request of a
+// previous process of a VM does not reach a request of its next process, which would
+// then be sent to a target of another service.
 func TestRequestOfAFormerProcessIsNotAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork("broker", "a", "b")
@@ -295,8 +306,8 @@
 			assert.NilError(t, err)
 			held[service] = permit
 		}
-		// The former process waits for a target of the one service, the next one for a
-		// target of the other.
+		// The previous process waits for the target of s, the next one for the target of
+		// other.
 		former, leave := context.WithCancel(t.Context())
 		defer leave()
 		go func() { _, _ = n.desks["a"].Acquire(former, request()) }()
@@ -316,8 +327,8 @@
 	})
 }
 
-// TestIdleDeskFollowsTheLatestView: a desk without requests takes in views only when
-// it is asked, and then the latest.
+// TestIdleDeskFollowsTheLatestView checks that a desk without requests decides the
+// next one by the latest view, although it applied none of the views before.
 func TestIdleDeskFollowsTheLatestView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork("broker")
@@ -335,9 +346,9 @@
 	})
 }
 
-// TestViewsCostAnIdleDeskNothing: VMs of little processor that give out no permits get
-// a view for every change of the targets. The bound is on the ratio to a broker that
-// follows each, measured side by side, the best of ten.
+// TestViewsCostAnIdleDeskNothing guards the CPU time of small VMs that grant no
+// permits: they get a view for every change of the targets. The bound is on the ratio
+// to a broker that applies each view, measured side by side, the best of ten runs.
 func TestViewsCostAnIdleDeskNothing(t *testing.T) {
 	base := view()
 	for i := range 3000 {
@@ -357,5 +368,5 @@
 		desk.Update(&next)
 		followed, idle = min(followed, between.Sub(began)), min(idle, time.Since(between))
 	}
-	assert.Assert(t, 10*idle < followed, "%v on an idle desk, %v at a broker", idle, followed)
+	assert.Assert(t, 10*idle < followed, "%v per view on an idle desk, %v in a broker", idle, followed)
 }
--- a/internal/process/permits/wire.go
+++ b/internal/process/permits/wire.go
@@ -8,6 +8,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
+// requestToWire encodes the aim and the deadline as the time that remains at now, as
+// the clocks of VMs may differ; requestFromWire adds it to the time of receipt.
 func requestToWire(r admission.Request, now time.Time) *peerv1.PermitRequest {
 	return &peerv1.PermitRequest{
 		Number: r.ID.Number, Service: r.Service, Key: uint32(r.Key), Class: r.Class, FailureDomain: r.Domain,
