--- a/internal/request/admission/admission.go
+++ b/internal/request/admission/admission.go
@@ -160,10 +160,10 @@
 // permit is the right of a request to run at a target, from the decision until
 // its end is reported.
 type permit struct {
-	pool    *pool
-	target  *target
-	request Request
-	at      time.Time
+	pool      *pool
+	target    *target
+	request   Request
+	grantedAt time.Time
 }
 
 // New returns a broker without targets; Update sets them.
@@ -174,12 +174,12 @@
 // Update applies a new view. Requests in flight are not affected; waiting
 // requests are decided again.
 func (b *Broker) Update(view *fleet.View, now time.Time) {
-	former := b.view
+	previous := b.view
 	b.view = view
 	if view.Config == nil {
 		return
 	}
-	if former != nil && former.SameTargets(view) {
+	if previous != nil && previous.SameTargets(view) {
 		// Most views differ only in the owners of keys, and going through the
 		// targets is expensive: there are thousands.
 		for _, p := range b.pools {
@@ -219,7 +219,7 @@
 func (b *Broker) Ask(r Request, now time.Time) {
 	p := b.pools[r.Service]
 	if p == nil || b.config.Serve != nil && !b.config.Serve(r.Service) {
-		b.config.Decide(Decision{ID: r.ID, Refused: NoTarget, RetryAfter: retrySoon})
+		b.config.Decide(Decision{ID: r.ID, Refused: NoTarget, RetryAfter: minRetryAfter})
 		return
 	}
 	r.arrived = now
@@ -241,10 +241,10 @@
 // AdoptRepeats takes over the counts of the broker that this one replaces, as of
 // the last heartbeat received from it, so that a change of broker does not
 // renew the budget.
-func (b *Broker) AdoptRepeats(counts map[string]RepeatCount, heard, now time.Time) {
+func (b *Broker) AdoptRepeats(counts map[string]RepeatCount, asOf, now time.Time) {
 	for name, count := range counts {
 		if p := b.pools[name]; p != nil {
-			p.repeats.adopt(count, heard, now)
+			p.repeats.adopt(count, asOf, now)
 		}
 	}
 }
@@ -257,9 +257,9 @@
 
 // End releases the slot of a request in flight, or withdraws a queued request.
 func (b *Broker) End(end End, now time.Time) {
-	if running := b.permits[end.ID]; running != nil {
+	if granted := b.permits[end.ID]; granted != nil {
 		delete(b.permits, end.ID)
-		running.pool.ended(running, end, now)
+		granted.pool.finish(granted, end, now)
 		return
 	}
 	for _, p := range b.pools {
@@ -272,7 +272,7 @@
 // because the targets may still be working on them.
 func (b *Broker) Forget(vm string) {
 	for _, p := range b.pools {
-		p.forget(vm)
+		p.withdrawVM(vm)
 	}
 }
 
@@ -280,10 +280,10 @@
 // longer be answered in time, and ends permits whose end was never reported.
 // It must be called every few milliseconds while Busy returns true.
 func (b *Broker) Tick(now time.Time) {
-	for id, running := range b.permits {
-		if now.Sub(running.request.Deadline) > permitGrace {
+	for id, granted := range b.permits {
+		if now.Sub(granted.request.Deadline) > permitGrace {
 			delete(b.permits, id)
-			running.pool.ended(running, End{ID: id, Result: Timeout}, now)
+			granted.pool.finish(granted, End{ID: id, Result: Timeout}, now)
 		}
 	}
 	for _, p := range b.pools {
--- a/internal/request/admission/choice.go
+++ b/internal/request/admission/choice.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// compared is the maximum number of free targets that are compared for a
+	// maxCandidates is the maximum number of free targets that are maxCandidates for a
 	// request. A VM's requests go to the same targets while these are free, so
 	// that it needs few connections. With three failure domains, some twenty of
 	// the targets are in each.
-	compared = 64
-	// capacityAge is how long the capacity of a service with more targets than
+	maxCandidates = 64
+	// capacityMaxAge is how long the capacity of a service with more targets than
 	// that is cached. It is half the interval at which the broker is ticked.
-	capacityAge = 5 * time.Millisecond
+	capacityMaxAge = 5 * time.Millisecond
 )
 
-// from returns all targets in ID order. If there are too many to compare, the
-// order starts at a position derived from the VM's name, so that each VM prefers
+// targetsFor returns all targets in ID order. If there are too many to compare, the
+// order starts at a position derived targetsFor the VM's name, so that each VM prefers
 // other targets.
-func (p *pool) from(vm string) iter.Seq[*target] {
+func (p *pool) targetsFor(vm string) iter.Seq[*target] {
 	return func(yield func(*target) bool) {
 		start := 0
-		if len(p.order) > compared {
-			start = int(xxh3.HashString(vm) % uint64(len(p.order)))
+		if len(p.sortedTargets) > maxCandidates {
+			start = int(xxh3.HashString(vm) % uint64(len(p.sortedTargets)))
 		}
-		for i := range p.order {
-			if !yield(p.order[(start+i)%len(p.order)]) {
+		for i := range p.sortedTargets {
+			if !yield(p.sortedTargets[(start+i)%len(p.sortedTargets)]) {
 				return
 			}
 		}
@@ -39,35 +39,35 @@
 // candidates returns the targets that have a free slot, or all targets in the
 // VM's order if more have one than are compared.
 func (p *pool) candidates(vm string) iter.Seq[*target] {
-	if len(p.free) <= compared {
+	if len(p.free) <= maxCandidates {
 		return slices.Values(p.free)
 	}
-	return p.from(vm)
+	return p.targetsFor(vm)
 }
 
 // classWork returns the mean work of a class in seconds. Until it has been
 // measured, it is estimated from aim, the time that a request has until its aim;
 // without an aim it is 0.
 func (p *pool) classWork(class string, aim time.Duration) float64 {
-	work := p.work[class]
+	work := p.meanWork[class]
 	if work == 0 && aim > 0 {
-		work = workPrior * aim.Seconds()
-		p.work[class] = work
+		work = initialWorkShare * aim.Seconds()
+		p.meanWork[class] = work
 	}
 	return work
 }
 
-// takes returns the expected time until the answer if a request runs at a
+// expectedTime returns the expected time until the answer if a request runs at a
 // target now.
-func (p *pool) takes(r *Request, t *target, now time.Time) time.Duration {
+func (p *pool) expectedTime(r *Request, t *target, now time.Time) time.Duration {
 	work := p.classWork(r.Class, r.Aim.Sub(r.arrived))
-	crowded := 1 + crowding*float64(t.running)/float64(max(t.Slots, 1))
-	return seconds(work*t.relativeTime(now)*crowded) + transit
+	slowdown := 1 + occupancySlowdown*float64(t.running)/float64(max(t.Slots, 1))
+	return seconds(work*t.relativeTime(now)*slowdown) + transitTime
 }
 
-// setLocal restricts a large request to its own failure domain for a part of the
+// restrictToDomain restricts a large request to its own failure domain for a part of the
 // time that it can spare before its aim, if a target there may become free.
-func (p *pool) setLocal(r *Request, now time.Time) {
+func (p *pool) restrictToDomain(r *Request, now time.Time) {
 	if !r.Large || p.service.Keyed {
 		return
 	}
@@ -77,8 +77,8 @@
 		return
 	}
 	for _, t := range p.targets {
-		if t.usable && t.FailureDomain == r.Domain && !t.refused && now.After(t.pausedUntil) {
-			r.localUntil = now.Add(time.Duration(localShare * float64(spare)))
+		if t.usable && t.FailureDomain == r.Domain && !t.connectionRefused && now.After(t.backoffUntil) {
+			r.localUntil = now.Add(time.Duration(localWaitShare * float64(spare)))
 			return
 		}
 	}
@@ -98,15 +98,15 @@
 	return false
 }
 
-// open reports whether a target can start a request now.
-func (p *pool) open(t *target, now time.Time) bool {
-	if !t.usable || t.running >= t.Slots || now.Before(t.pausedUntil) {
+// canStart reports whether a target can start a request now.
+func (p *pool) canStart(t *target, now time.Time) bool {
+	if !t.usable || t.running >= t.Slots || now.Before(t.backoffUntil) {
 		return false
 	}
 	if !t.cold(now) {
 		return true
 	}
-	return !p.broker.config.Cautious && t.coldRoom(p.coldLimit(), now)
+	return !p.broker.config.Cautious && t.canStartCold(p.coldLimit(), now)
 }
 
 // coldLimit returns the number of requests that a cold target may start within
@@ -119,23 +119,23 @@
 // wait.
 func (p *pool) choose(r *Request, now time.Time) *target {
 	if p.service.Keyed {
-		if t := p.owner(r.Key); t != nil && p.open(t, now) {
+		if t := p.owner(r.Key); t != nil && p.canStart(t, now) {
 			return t
 		}
 		return nil
 	}
 	var best *target
 	var bestCost time.Duration
-	detour := p.detour(r)
+	margin := p.localityMargin(r)
 	seen := 0
 	for t := range p.candidates(r.ID.VM) {
-		if !p.open(t, now) || !p.fits(r, t, now) {
+		if !p.canStart(t, now) || !p.eligible(r, t, now) {
 			continue
 		}
-		if cost := p.cost(r, t, detour, now); best == nil || cost < bestCost {
+		if cost := p.cost(r, t, margin, now); best == nil || cost < bestCost {
 			best, bestCost = t, cost
 		}
-		if seen++; seen == compared {
+		if seen++; seen == maxCandidates {
 			break
 		}
 	}
@@ -145,36 +145,36 @@
 	return best
 }
 
-// fits reports whether a request may be sent to a target, whether or not the
+// eligible reports whether a request may be sent to a target, whether or not the
 // target has a free slot.
-func (p *pool) fits(r *Request, t *target, now time.Time) bool {
+func (p *pool) eligible(r *Request, t *target, now time.Time) bool {
 	if slices.Contains(r.Exclude, t.ID) {
 		return false
 	}
 	return t.FailureDomain == r.Domain || !now.Before(r.localUntil)
 }
 
-// detour returns the additional margin by which a target must be quicker to
+// localityMargin returns the additional margin by which a target must be quicker to
 // justify a new connection or the way to another failure domain. It shrinks as
 // the slots fill up: a service with free slots can afford slower targets to save
 // connections and cross-domain traffic, a busy one needs the quickest.
-func (p *pool) detour(r *Request) time.Duration {
+func (p *pool) localityMargin(r *Request) time.Duration {
 	if p.running >= p.slots {
 		return 0
 	}
 	free := 1 - float64(p.running)/float64(p.slots)
-	return seconds(detourShare * free * p.classWork(r.Class, 0))
+	return seconds(localityMarginShare * free * p.classWork(r.Class, 0))
 }
 
 // cost returns the cost of running a request at a target; the target with the
 // lowest cost is preferred.
-func (p *pool) cost(r *Request, t *target, detour time.Duration, now time.Time) time.Duration {
-	cost := time.Duration(float64(p.takes(r, t, now)) * (1 + failurePenalty*t.failures))
+func (p *pool) cost(r *Request, t *target, margin time.Duration, now time.Time) time.Duration {
+	cost := time.Duration(float64(p.expectedTime(r, t, now)) * (1 + failurePenalty*t.failures))
 	if t.FailureDomain != r.Domain {
-		cost += crossDomain + detour
+		cost += crossDomainPenalty + margin
 	}
 	if !t.connected(r.ID.VM, now) {
-		cost += connecting + detour
+		cost += newConnectionPenalty + margin
 	}
 	return cost
 }
@@ -184,83 +184,83 @@
 // deadline there and none of the other targets would meet its aim, even with a
 // free slot.
 func (p *pool) worthwhile(r *Request, t *target, now time.Time) bool {
-	if !now.Add(p.takes(r, t, now)).After(r.Aim) {
+	if !now.Add(p.expectedTime(r, t, now)).After(r.Aim) {
 		return true
 	}
 	seen := 0
-	for other := range p.from(r.ID.VM) {
-		if other == t || !other.usable || now.Before(other.pausedUntil) || !p.fits(r, other, now) {
+	for other := range p.targetsFor(r.ID.VM) {
+		if other == t || !other.usable || now.Before(other.backoffUntil) || !p.eligible(r, other, now) {
 			continue
 		}
-		if !now.Add(p.takes(r, other, now)).After(r.Aim) {
+		if !now.Add(p.expectedTime(r, other, now)).After(r.Aim) {
 			return false
 		}
-		if seen++; seen == compared {
+		if seen++; seen == maxCandidates {
 			break
 		}
 	}
-	return !now.Add(p.takes(r, t, now)).After(r.Deadline)
+	return !now.Add(p.expectedTime(r, t, now)).After(r.Deadline)
 }
 
 // capacity returns the number of slots that a request may wait for, and the mean
 // time for which a request of its class holds one.
-func (p *pool) capacity(r *Request, now time.Time) (slots int, each time.Duration) {
+func (p *pool) capacity(r *Request, now time.Time) (slots int, holdTime time.Duration) {
 	if p.service.Keyed {
 		t := p.targets[p.ownerID(r.Key)]
 		if t == nil || !t.usable {
 			return 0, 0
 		}
-		return t.Slots, p.takes(r, t, now)
+		return t.Slots, p.expectedTime(r, t, now)
 	}
-	known, ok := p.capacities[r.Class]
-	if !ok || len(p.order) <= compared || now.Sub(known.at) > capacityAge {
-		known = p.sumCapacity(r, now)
-		p.capacities[r.Class] = known
+	cached, ok := p.capacities[r.Class]
+	if !ok || len(p.sortedTargets) <= maxCandidates || now.Sub(cached.at) > capacityMaxAge {
+		cached = p.sumCapacity(r, now)
+		p.capacities[r.Class] = cached
 	}
-	return known.slots, known.each
+	return cached.slots, cached.holdTime
 }
 
 // capacity is the cached capacity of a service without keys for one class: the
 // slots of its usable targets and the mean time that a request holds one.
 type capacity struct {
-	at    time.Time
-	slots int
-	each  time.Duration
+	at       time.Time
+	slots    int
+	holdTime time.Duration
 }
 
 func (p *pool) sumCapacity(r *Request, now time.Time) capacity {
 	sum, rate := capacity{at: now}, 0.0
-	for _, t := range p.order {
-		if t.usable && now.After(t.pausedUntil) {
+	for _, t := range p.sortedTargets {
+		if t.usable && now.After(t.backoffUntil) {
 			sum.slots += t.Slots
-			rate += float64(t.Slots) / p.takes(r, t, now).Seconds()
+			rate += float64(t.Slots) / p.expectedTime(r, t, now).Seconds()
 		}
 	}
 	if sum.slots > 0 {
-		sum.each = seconds(float64(sum.slots) / rate)
+		sum.holdTime = seconds(float64(sum.slots) / rate)
 	}
 	return sum
 }
 
-// servable returns how long a request would wait in a queue, and whether it can
+// estimateWait returns how long a request would wait in a queue, and whether it can
 // be answered in time after that wait.
-func (p *pool) servable(q *queue, r *Request, now time.Time) (time.Duration, bool) {
-	slots, each := p.capacity(r, now)
+func (p *pool) estimateWait(q *queue, r *Request, now time.Time) (time.Duration, bool) {
+	slots, holdTime := p.capacity(r, now)
 	if slots == 0 {
 		// No usable target owns the key: its slice or its owner is being moved.
 		// Most moves take less time than one request, so the request waits.
 		return seconds(p.classWork(r.Class, r.Aim.Sub(now))), p.service.Keyed && p.anyTarget(r)
 	}
-	perRequest := time.Duration(float64(each) / float64(slots))
-	wait := time.Duration(q.position(r))*perRequest + perRequest/2
-	if !now.Add(wait + each).After(r.Aim) {
+	slotInterval := time.Duration(float64(holdTime) / float64(slots))
+	wait := time.Duration(q.position(r))*slotInterval + slotInterval/2
+	if !now.Add(wait + holdTime).After(r.Aim) {
 		return wait, true
 	}
-	q.fade(now)
-	utilisation := q.demand / (float64(slots) * p.classWork(r.Class, 0) / (each - transit).Seconds())
-	if utilisation >= overload {
+	q.decay(now)
+	utilisation := q.demand / (float64(slots) * p.classWork(r.Class, 0) / (holdTime - transitTime).Seconds())
+	if utilisation >= overloadUtilisation {
 		return wait, false
 	}
-	wait = time.Duration(float64(time.Duration(len(q.waiters)+1)*perRequest) / (1 - utilisation))
-	return wait, !now.Add(wait + each).After(r.Deadline)
+	wait = time.Duration(float64(time.Duration(len(q.waiters)+1)*slotInterval) / (1 - utilisation))
+	return wait, !now.Add(wait + holdTime).After(r.Deadline)
 }
--- a/internal/request/admission/pool.go
+++ b/internal/request/admission/pool.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	// retrySoon is the minimum time after which a refused caller may retry.
-	retrySoon = 30 * time.Millisecond
+	// minRetryAfter is the minimum time after which a refused caller may retry.
+	minRetryAfter = 30 * time.Millisecond
 	// permitGrace is how long after the deadline of its request a permit is ended
 	// if no end was reported.
 	permitGrace = 500 * time.Millisecond
-	// transit is the time that a request spends on the way between the VM that
+	// transitTime is the time that a request spends on the way between the VM that
 	// sends it, the broker and the target.
-	transit = 6 * time.Millisecond
-	// workPrior is the assumed work of a class as a share of its aim, until it
+	transitTime = 6 * time.Millisecond
+	// initialWorkShare is the assumed work of a class as a share of its aim, until it
 	// has been measured.
-	workPrior = 0.3
-	// overload is the utilisation above which a request that will miss its aim
+	initialWorkShare = 0.3
+	// overloadUtilisation is the utilisation above which a request that will miss its aim
 	// is refused on arrival instead of queued.
-	overload = 0.95
-	// crossDomain is the minimum time by which a target in another failure domain
+	overloadUtilisation = 0.95
+	// crossDomainPenalty is the minimum time by which a target in another failure domain
 	// must be quicker to be preferred.
-	crossDomain = 4 * time.Millisecond
-	// connecting is the minimum time by which a target without an open connection
+	crossDomainPenalty = 4 * time.Millisecond
+	// newConnectionPenalty is the minimum time by which a target without an open connection
 	// must be quicker to be preferred: opening a connection takes a round trip and
 	// occupies a slot for that time, and targets accept a limited number.
-	connecting = 4 * time.Millisecond
-	// detourShare is how much slower a target in the same failure domain, or one
+	newConnectionPenalty = 4 * time.Millisecond
+	// localityMarginShare is how much slower a target in the same failure domain, or one
 	// with an open connection, may be while all slots are free, as a share of the
 	// mean work.
-	detourShare = 0.4
-	// localShare is the share of the spare time before its aim for which a large
+	localityMarginShare = 0.4
+	// localWaitShare is the share of the spare time before its aim for which a large
 	// request waits for a target in its own failure domain.
-	localShare = 0.5
+	localWaitShare = 0.5
 	// failurePenalty is how many times its expected time a target that always
 	// fails is charged in addition.
 	failurePenalty = 5
-	// crowding is the relative increase of the service time at a target whose
+	// occupancySlowdown is the relative increase of the service time at a target whose
 	// slots are all in use.
-	crowding = 0.2
+	occupancySlowdown = 0.2
 )
 
 // pool holds the targets and queues of one service.
@@ -51,31 +51,31 @@
 	name    string
 	service *fleet.Service
 	targets map[string]*target
-	// order holds the targets sorted by ID. capacities caches their capacity by
+	// sortedTargets holds the targets sorted by ID. capacities caches their capacity by
 	// class.
-	order      []*target
-	capacities map[string]capacity
+	sortedTargets []*target
+	capacities    map[string]capacity
 	// slots and running are the sums over the usable targets. free holds those of
 	// them that have a free slot, in no particular order.
 	slots, running int
 	free           []*target
-	// shared is the queue of a service without keys. owners holds the queues of a
+	// sharedQueue is the queue of a service without keys. owners holds the queues of a
 	// keyed service by the ID of the owner; the empty ID is for keys without one.
-	shared *queue
-	owners map[string]*queue
-	slices []fleet.Slice
+	sharedQueue *queue
+	ownerQueues map[string]*queue
+	slices      []fleet.Slice
 	// waiting maps a waiting request to its queue.
 	waiting map[ID]*queue
-	// work is the mean work of each class in seconds: the service time at a target
+	// meanWork is the mean meanWork of each class in seconds: the service time at a target
 	// of average speed.
-	work    map[string]float64
-	repeats *repeats
+	meanWork map[string]float64
+	repeats  *repeats
 }
 
 func newPool(b *Broker, name string) *pool {
 	return &pool{
-		broker: b, name: name, targets: map[string]*target{}, capacities: map[string]capacity{}, shared: &queue{}, owners: map[string]*queue{},
-		waiting: map[ID]*queue{}, work: map[string]float64{}, repeats: newRepeats(b.config.Budget),
+		broker: b, name: name, targets: map[string]*target{}, capacities: map[string]capacity{}, sharedQueue: &queue{}, ownerQueues: map[string]*queue{},
+		waiting: map[ID]*queue{}, meanWork: map[string]float64{}, repeats: newRepeats(b.config.Budget),
 	}
 }
 
@@ -89,7 +89,7 @@
 			delete(p.targets, id)
 		}
 	}
-	p.order = p.order[:0]
+	p.sortedTargets = p.sortedTargets[:0]
 	p.slots, p.running, p.free = 0, 0, p.free[:0]
 	clear(p.capacities)
 	for _, declared := range present {
@@ -100,15 +100,15 @@
 		}
 		t.Target = *declared
 		t.usable = view.Usable(declared)
-		p.order = append(p.order, t)
-		t.free = none
+		p.sortedTargets = append(p.sortedTargets, t)
+		t.freeIndex = notFree
 		if t.usable {
 			p.slots += t.Slots
 			p.running += t.running
-			p.noteFree(t)
+			p.updateFree(t)
 		}
 	}
-	slices.SortFunc(p.order, func(a, b *target) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(p.sortedTargets, func(a, b *target) int { return cmp.Compare(a.ID, b.ID) })
 	p.updateOwners(view)
 }
 
@@ -120,12 +120,12 @@
 	}
 }
 
-// queueOf returns the queue of an owner and creates it if necessary.
-func (p *pool) queueOf(owner string) *queue {
-	q := p.owners[owner]
+// ownerQueue returns the queue of an owner and creates it if necessary.
+func (p *pool) ownerQueue(owner string) *queue {
+	q := p.ownerQueues[owner]
 	if q == nil {
 		q = &queue{}
-		p.owners[owner] = q
+		p.ownerQueues[owner] = q
 	}
 	return q
 }
@@ -133,7 +133,7 @@
 // requeue moves waiting requests to the queues of the current owners of their
 // keys.
 func (p *pool) requeue() {
-	for owner, q := range p.owners {
+	for owner, q := range p.ownerQueues {
 		kept := q.waiters[:0]
 		var moved []*Request
 		for _, r := range q.waiters {
@@ -149,7 +149,7 @@
 			p.enqueue(r)
 		}
 		if len(q.waiters) == 0 && p.targets[owner] == nil {
-			delete(p.owners, owner)
+			delete(p.ownerQueues, owner)
 		}
 	}
 }
@@ -180,9 +180,9 @@
 // queueFor returns the queue that a request belongs to.
 func (p *pool) queueFor(r *Request) *queue {
 	if p.service.Keyed {
-		return p.queueOf(p.ownerID(r.Key))
+		return p.ownerQueue(p.ownerID(r.Key))
 	}
-	return p.shared
+	return p.sharedQueue
 }
 
 func (p *pool) enqueue(r *Request) {
@@ -196,22 +196,22 @@
 // ask decides or queues a request.
 func (p *pool) ask(r *Request, now time.Time) {
 	if r.Repeat && (p.broker.config.Cautious || !p.repeats.allow(now)) {
-		p.refuse(r, BudgetSpent, retrySoon, now)
+		p.refuse(r, BudgetSpent, minRetryAfter, now)
 		return
 	}
 	if !r.Repeat {
-		p.repeats.first(now)
+		p.repeats.countFirst(now)
 	}
 	q := p.queueFor(r)
-	q.arrive(p.classWork(r.Class, r.Aim.Sub(now)), now)
-	p.setLocal(r, now)
+	q.recordArrival(p.classWork(r.Class, r.Aim.Sub(now)), now)
+	p.restrictToDomain(r, now)
 	if len(q.waiters) == 0 {
 		if t := p.choose(r, now); t != nil {
-			p.permit(r, t, now)
+			p.grant(r, t, now)
 			return
 		}
 	}
-	if wait, ok := p.servable(q, r, now); !ok {
+	if wait, ok := p.estimateWait(q, r, now); !ok {
 		reason := WouldBeLate
 		if !p.anyTarget(r) {
 			reason = NoTarget
@@ -223,50 +223,50 @@
 	p.dispatch(q, now)
 }
 
-// permit grants a request a slot at a target.
-func (p *pool) permit(r *Request, t *target, now time.Time) {
-	p.run(t, 1)
-	t.sentBy[r.ID.VM] = now
+// grant grants a request a slot at a target.
+func (p *pool) grant(r *Request, t *target, now time.Time) {
+	p.addRunning(t, 1)
+	t.lastSent[r.ID.VM] = now
 	if t.cold(now) {
-		t.starts = append(t.starts, now)
+		t.coldStarts = append(t.coldStarts, now)
 	}
-	p.broker.permits[r.ID] = &permit{pool: p, target: t, request: *r, at: now}
+	p.broker.permits[r.ID] = &permit{pool: p, target: t, request: *r, grantedAt: now}
 	if r.Repeat {
-		p.repeats.spend(now)
+		p.repeats.countRepeat(now)
 	}
 	p.broker.config.Decide(Decision{ID: r.ID, Target: t.Life})
 }
 
-// run changes the number of requests in flight at a target.
-func (p *pool) run(t *target, change int) {
+// addRunning changes the number of requests in flight at a target.
+func (p *pool) addRunning(t *target, change int) {
 	t.running += change
 	if t.usable {
 		p.running += change
-		p.noteFree(t)
+		p.updateFree(t)
 	}
 }
 
-// noteFree adds a target to the free list or removes it, after a change of the
+// updateFree adds a target to the free list or removes it, after a change of the
 // number of its requests in flight.
-func (p *pool) noteFree(t *target) {
+func (p *pool) updateFree(t *target) {
 	switch free := t.running < t.Slots; {
-	case free && t.free == none:
-		t.free = len(p.free)
+	case free && t.freeIndex == notFree:
+		t.freeIndex = len(p.free)
 		p.free = append(p.free, t)
-	case !free && t.free != none:
+	case !free && t.freeIndex != notFree:
 		last := p.free[len(p.free)-1]
-		p.free[t.free], last.free = last, t.free
+		p.free[t.freeIndex], last.freeIndex = last, t.freeIndex
 		p.free = p.free[:len(p.free)-1]
-		t.free = none
+		t.freeIndex = notFree
 	}
 }
 
-func (p *pool) refuse(r *Request, reason Reason, after time.Duration, now time.Time) {
-	after = max(after, retrySoon)
-	if third := r.Deadline.Sub(now) / 3; third > retrySoon {
-		after = min(after, third)
+func (p *pool) refuse(r *Request, reason Reason, retryAfter time.Duration, now time.Time) {
+	retryAfter = max(retryAfter, minRetryAfter)
+	if third := r.Deadline.Sub(now) / 3; third > minRetryAfter {
+		retryAfter = min(retryAfter, third)
 	}
-	p.broker.config.Decide(Decision{ID: r.ID, Refused: reason, RetryAfter: after})
+	p.broker.config.Decide(Decision{ID: r.ID, Refused: reason, RetryAfter: retryAfter})
 }
 
 // dispatch starts waiting requests while there are free slots.
@@ -278,7 +278,7 @@
 		}
 		q.remove(r)
 		delete(p.waiting, r.ID)
-		p.permit(r, t, now)
+		p.grant(r, t, now)
 	}
 }
 
@@ -287,7 +287,7 @@
 func (p *pool) nextFor(q *queue, now time.Time) (*Request, *target) {
 	chosen := map[ID]*target{}
 	r := q.next(now,
-		func(r *Request) time.Duration { return p.takes(r, chosen[r.ID], now) },
+		func(r *Request) time.Duration { return p.expectedTime(r, chosen[r.ID], now) },
 		func(r *Request) bool {
 			t := p.choose(r, now)
 			chosen[r.ID] = t
@@ -299,57 +299,57 @@
 	return r, chosen[r.ID]
 }
 
-// ended releases the slot of a permit, records the result and starts the next
+// finish releases the slot of a permit, records the result and starts the next
 // waiting request.
-func (p *pool) ended(running *permit, end End, now time.Time) {
-	t := running.target
-	p.run(t, -1)
+func (p *pool) finish(granted *permit, end End, now time.Time) {
+	t := granted.target
+	p.addRunning(t, -1)
 	if end.HasLoad && end.Load.Pace > 0 {
 		t.pace, t.paceAt = float64(end.Load.Pace)/100, now
 	}
-	p.count(running, end, now)
+	p.recordResult(granted, end, now)
 	if p.service == nil {
 		return
 	}
 	if p.service.Keyed {
-		p.dispatch(p.queueOf(t.ID), now)
+		p.dispatch(p.ownerQueue(t.ID), now)
 		return
 	}
-	p.dispatch(p.shared, now)
+	p.dispatch(p.sharedQueue, now)
 }
 
-// count updates the measurements of the target and of the class from the result
+// recordResult updates the measurements of the target and of the class from the result
 // of a request.
-func (p *pool) count(running *permit, end End, now time.Time) {
-	t := running.target
-	class := running.request.Class
+func (p *pool) recordResult(granted *permit, end End, now time.Time) {
+	t := granted.target
+	class := granted.request.Class
 	switch end.Result {
 	case Answered:
-		t.reachable()
-		t.count(false, now)
-		work := p.classWork(class, running.request.Aim.Sub(running.request.arrived))
+		t.resetBackoff()
+		t.recordOutcome(false, now)
+		work := p.classWork(class, granted.request.Aim.Sub(granted.request.arrived))
 		if work > 0 && end.Took > 0 {
-			p.work[class] += classWeight * (end.Took.Seconds()/t.relativeTime(now) - work)
-			t.learn(end.Took, work, now)
+			p.meanWork[class] += classWeight * (end.Took.Seconds()/t.relativeTime(now) - work)
+			t.recordServiceTime(end.Took, work, now)
 		}
 	case NotOwner:
 		if p.broker.config.NotOwner != nil {
-			p.broker.config.NotOwner(p.name, running.request.Key, t.Life)
+			p.broker.config.NotOwner(p.name, granted.request.Key, t.Life)
 		}
 	case NotRun, Failed, Broken:
-		t.count(true, now)
+		t.recordOutcome(true, now)
 	case Timeout:
-		t.count(true, now)
+		t.recordOutcome(true, now)
 		if work := p.classWork(class, 0); work > 0 {
-			t.learn(now.Sub(running.at), work, now)
+			t.recordServiceTime(now.Sub(granted.grantedAt), work, now)
 		}
 	case Refused:
-		t.count(true, now)
-		t.refused = true
-		t.pause(now)
+		t.recordOutcome(true, now)
+		t.connectionRefused = true
+		t.backOff(now)
 	case Unreachable:
-		t.count(true, now)
-		t.pause(now)
+		t.recordOutcome(true, now)
+		t.backOff(now)
 	}
 }
 
@@ -368,7 +368,7 @@
 	}
 }
 
-func (p *pool) forget(vm string) {
+func (p *pool) withdrawVM(vm string) {
 	for id := range p.waiting {
 		if id.VM == vm {
 			p.withdraw(id)
@@ -379,7 +379,7 @@
 func (p *pool) refuseAll(reason Reason, now time.Time) {
 	for _, q := range p.queues() {
 		for _, r := range q.waiters {
-			p.refuse(r, reason, retrySoon, now)
+			p.refuse(r, reason, minRetryAfter, now)
 		}
 		q.waiters = nil
 	}
@@ -387,8 +387,8 @@
 }
 
 func (p *pool) queues() []*queue {
-	all := []*queue{p.shared}
-	for _, q := range p.owners {
+	all := []*queue{p.sharedQueue}
+	for _, q := range p.ownerQueues {
 		all = append(all, q)
 	}
 	return all
@@ -412,16 +412,16 @@
 // prune refuses the requests of a queue that would miss their deadline even if
 // they were started now.
 func (p *pool) prune(q *queue, now time.Time) {
-	var hopeless []*Request
+	var tooLate []*Request
 	for _, r := range q.waiters {
-		_, each := p.capacity(r, now)
-		if now.Add(max(each, transit)).After(r.Deadline) {
-			hopeless = append(hopeless, r)
+		_, holdTime := p.capacity(r, now)
+		if now.Add(max(holdTime, transitTime)).After(r.Deadline) {
+			tooLate = append(tooLate, r)
 		}
 	}
-	for _, r := range hopeless {
+	for _, r := range tooLate {
 		q.remove(r)
 		delete(p.waiting, r.ID)
-		p.refuse(r, WouldBeLate, retrySoon, now)
+		p.refuse(r, WouldBeLate, minRetryAfter, now)
 	}
 }
--- a/internal/request/admission/queue.go
+++ b/internal/request/admission/queue.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// rateHalfLife is the half-life of the measured arrival rate in seconds.
-	rateHalfLife = 1.0
+	// demandHalfLife is the half-life of the measured arrival rate in seconds.
+	demandHalfLife = 1.0
 )
 
 // queue holds the requests that wait for one target, or for any target of a
@@ -22,22 +22,22 @@
 	demandAt time.Time
 }
 
-// arrive adds the work of an arriving request, in seconds, to the demand.
-func (q *queue) arrive(work float64, now time.Time) {
-	q.fade(now)
-	q.demand += work * math.Ln2 / rateHalfLife
+// recordArrival adds the work of an arriving request, in seconds, to the demand.
+func (q *queue) recordArrival(work float64, now time.Time) {
+	q.decay(now)
+	q.demand += work * math.Ln2 / demandHalfLife
 }
 
-func (q *queue) fade(now time.Time) {
+func (q *queue) decay(now time.Time) {
 	if q.demandAt.IsZero() {
 		q.demandAt = now
 	}
-	q.demand *= math.Exp2(-now.Sub(q.demandAt).Seconds() / rateHalfLife)
+	q.demand *= math.Exp2(-now.Sub(q.demandAt).Seconds() / demandHalfLife)
 	q.demandAt = now
 }
 
-// before reports whether a is to be served before b.
-func before(a, b *Request) bool {
+// servedBefore reports whether a is to be served servedBefore b.
+func servedBefore(a, b *Request) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
 	}
@@ -54,7 +54,7 @@
 
 // position returns the number of waiting requests that are to be served before r.
 func (q *queue) position(r *Request) int {
-	return sort.Search(len(q.waiters), func(i int) bool { return before(r, q.waiters[i]) })
+	return sort.Search(len(q.waiters), func(i int) bool { return servedBefore(r, q.waiters[i]) })
 }
 
 // remove removes a request if it is queued.
@@ -71,19 +71,19 @@
 // the one with the earliest deadline among those that meet their deadline; nil if
 // there is none. allowed reports whether a request can run now; takes returns its
 // expected time and is called only for allowed requests.
-func (q *queue) next(now time.Time, takes func(*Request) time.Duration, allowed func(*Request) bool) *Request {
-	var late *Request
+func (q *queue) next(now time.Time, expectedTime func(*Request) time.Duration, canRun func(*Request) bool) *Request {
+	var fallback *Request
 	for _, r := range q.waiters {
-		if !allowed(r) {
+		if !canRun(r) {
 			continue
 		}
-		end := now.Add(takes(r))
+		end := now.Add(expectedTime(r))
 		if !end.After(r.Aim) {
 			return r
 		}
-		if !end.After(r.Deadline) && (late == nil || r.Deadline.Before(late.Deadline)) {
-			late = r
+		if !end.After(r.Deadline) && (fallback == nil || r.Deadline.Before(fallback.Deadline)) {
+			fallback = r
 		}
 	}
-	return late
+	return fallback
 }
--- a/internal/request/admission/repeats.go
+++ b/internal/request/admission/repeats.go
@@ -12,16 +12,16 @@
 	budget Budget
 	// origin is the time from which the parts are numbered. It carries a monotonic
 	// clock reading: a jump of the wall clock would otherwise empty the window.
-	origin time.Time
-	parts  [windowParts]part
-	// at is the number of the latest part; part n is at index n modulo windowParts.
-	at int64
+	origin  time.Time
+	buckets [windowBuckets]bucket
+	// current is the number of the latest part; part n is current index n modulo windowParts.
+	current int64
 }
 
-// windowParts is the number of parts that the window is divided into.
-const windowParts = 10
+// windowBuckets is the number of parts that the window is divided into.
+const windowBuckets = 10
 
-type part struct{ first, repeated int }
+type bucket struct{ first, repeated int }
 
 func newRepeats(budget Budget) *repeats {
 	if budget.Window <= 0 {
@@ -30,28 +30,28 @@
 	return &repeats{budget: budget}
 }
 
-// number returns the number of the part that contains a time.
-func (c *repeats) number(at time.Time) int64 {
-	return int64(at.Sub(c.origin) / (c.budget.Window / windowParts))
+// bucketNumber returns the bucketNumber of the part that contains a time.
+func (c *repeats) bucketNumber(at time.Time) int64 {
+	return int64(at.Sub(c.origin) / (c.budget.Window / windowBuckets))
 }
 
 // advance clears the parts that have left the window and returns the current one.
-func (c *repeats) advance(now time.Time) *part {
+func (c *repeats) advance(now time.Time) *bucket {
 	if c.origin.IsZero() {
 		c.origin = now.Add(-c.budget.Window)
 	}
-	at := c.number(now)
-	for steps := min(at-c.at, windowParts); steps > 0; steps-- {
-		c.at = at - steps + 1
-		c.parts[c.at%windowParts] = part{}
+	number := c.bucketNumber(now)
+	for steps := min(number-c.current, windowBuckets); steps > 0; steps-- {
+		c.current = number - steps + 1
+		c.buckets[c.current%windowBuckets] = bucket{}
 	}
-	c.at = max(c.at, at)
-	return &c.parts[c.at%windowParts]
+	c.current = max(c.current, number)
+	return &c.buckets[c.current%windowBuckets]
 }
 
-func (c *repeats) first(now time.Time) { c.advance(now).first++ }
+func (c *repeats) countFirst(now time.Time) { c.advance(now).first++ }
 
-func (c *repeats) spend(now time.Time) { c.advance(now).repeated++ }
+func (c *repeats) countRepeat(now time.Time) { c.advance(now).repeated++ }
 
 // RepeatCount is the use of a retry budget within its window: the number of first
 // attempts, and the number of repeats that got a permit.
@@ -61,7 +61,7 @@
 func (c *repeats) sum(now time.Time) RepeatCount {
 	c.advance(now)
 	var sum RepeatCount
-	for _, p := range c.parts {
+	for _, p := range c.buckets {
 		sum.First += p.first
 		sum.Repeated += p.repeated
 	}
@@ -72,11 +72,11 @@
 // difference is counted as if all of these requests had arrived at that time.
 func (c *repeats) adopt(count RepeatCount, at, now time.Time) {
 	own := c.sum(now)
-	index := c.number(at)
-	if index > c.at || c.at-index >= windowParts {
+	number := c.bucketNumber(at)
+	if number > c.current || c.current-number >= windowBuckets {
 		return
 	}
-	p := &c.parts[index%windowParts]
+	p := &c.buckets[number%windowBuckets]
 	p.first += max(count.First-own.First, 0)
 	p.repeated += max(count.Repeated-own.Repeated, 0)
 }
--- a/internal/request/admission/target.go
+++ b/internal/request/admission/target.go
@@ -22,20 +22,20 @@
 	// minSlowness bounds a sample, so that an unusually quick answer does not
 	// attract all requests.
 	minSlowness = 0.3
-	// idleRecovery is the rate per second at which the measurements of a target
+	// idleDecayRate is the rate per second at which the measurements of a target
 	// without answers return to average slowness and no failures, so that the
 	// target is tried again.
-	idleRecovery = 0.15
-	// paceFresh is how long a pace that a target has reported is used. The pace
+	idleDecayRate = 0.15
+	// paceMaxAge is how long a pace that a target has reported is used. The pace
 	// changes several times a second.
-	paceFresh = 200 * time.Millisecond
-	// unreachablePause is how long no requests are sent to a target that did not
+	paceMaxAge = 200 * time.Millisecond
+	// connectBackoff is how long no requests are sent to a target that did not
 	// accept a connection. It doubles with each further failure up to
 	// unreachableMax.
-	unreachablePause = 200 * time.Millisecond
-	unreachableMax   = 2 * time.Second
-	// connectionKept is how long a VM keeps an idle connection to a target.
-	connectionKept = 7 * time.Second
+	connectBackoff    = 200 * time.Millisecond
+	maxConnectBackoff = 2 * time.Second
+	// connectionIdleTime is how long a VM keeps an idle connection to a target.
+	connectionIdleTime = 7 * time.Second
 	// coldWindow is the window over which requests to a cold target are counted.
 	// It is longer than the second of the limit because delays on the way to the
 	// target vary.
@@ -44,8 +44,8 @@
 	coldShare = 0.85
 )
 
-// none is the index of a target that is not in the list of free targets.
-const none = -1
+// notFree is the index of a target that is not in the list of free targets.
+const notFree = -1
 
 // target is the broker's state of one target.
 type target struct {
@@ -54,9 +54,9 @@
 	usable bool
 	// running is the number of requests in flight.
 	running int
-	// free is the target's index in the pool's list of targets with a free slot,
+	// freeIndex is the target's index in the pool's list of targets with a freeIndex slot,
 	// or none.
-	free int
+	freeIndex int
 	// slowness is the measured service time relative to the mean of the service.
 	slowness float64
 	// failures is the recent share of requests that failed or were refused, from
@@ -68,27 +68,27 @@
 	// reported by the target at paceAt; 1 is usual.
 	pace   float64
 	paceAt time.Time
-	// refused is set after a refused connection, until the target answers again.
-	refused bool
-	// pausedUntil is the time before which no requests are sent, after pauses
+	// connectionRefused is set after a connectionRefused connection, until the target answers again.
+	connectionRefused bool
+	// backoffUntil is the time before which no requests are sent, after pauses
 	// consecutive failed connections.
-	pausedUntil time.Time
-	pauses      int
-	// starts holds when requests were recently permitted while the target is cold.
-	starts []time.Time
-	// sentBy is when each VM was last permitted to send a request to the target.
-	sentBy map[string]time.Time
+	backoffUntil    time.Time
+	connectFailures int
+	// coldStarts holds when requests were recently permitted while the target is cold.
+	coldStarts []time.Time
+	// lastSent is when each VM was last permitted to send a request to the target.
+	lastSent map[string]time.Time
 }
 
 func newTarget(declared *fleet.Target, now time.Time) *target {
-	return &target{Target: *declared, free: none, slowness: 1, pace: 1, measuredAt: now, sentBy: map[string]time.Time{}}
+	return &target{Target: *declared, freeIndex: notFree, slowness: 1, pace: 1, measuredAt: now, lastSent: map[string]time.Time{}}
 }
 
 // relativeTime returns the expected service time relative to the mean of the
 // service, from the measured slowness and the pace that the target has reported.
 func (t *target) relativeTime(now time.Time) float64 {
 	pace := t.pace
-	if age := now.Sub(t.paceAt); age > paceFresh {
+	if age := now.Sub(t.paceAt); age > paceMaxAge {
 		pace = 1
 	}
 	return t.slowness * pace
@@ -97,40 +97,40 @@
 // connected reports whether a VM is likely to have an open connection to the
 // target.
 func (t *target) connected(vm string, now time.Time) bool {
-	return now.Sub(t.sentBy[vm]) < connectionKept
+	return now.Sub(t.lastSent[vm]) < connectionIdleTime
 }
 
 // cold reports whether the target is still warming up.
 func (t *target) cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// coldRoom reports whether a cold target may get one more request, at most limit
+// canStartCold reports whether a cold target may get one more request, at most limit
 // within coldWindow.
-func (t *target) coldRoom(limit int, now time.Time) bool {
-	kept := t.starts[:0]
-	for _, start := range t.starts {
+func (t *target) canStartCold(limit int, now time.Time) bool {
+	kept := t.coldStarts[:0]
+	for _, start := range t.coldStarts {
 		if now.Sub(start) < coldWindow {
 			kept = append(kept, start)
 		}
 	}
-	t.starts = kept
-	return len(t.starts) < limit
+	t.coldStarts = kept
+	return len(t.coldStarts) < limit
 }
 
-// learn updates the slowness with a measured service time; work is the mean work
+// recordServiceTime updates the slowness with a measured service time; work is the mean work
 // of the request's class in seconds. A recently reported pace accounts for a part
 // of the time: the sample is divided by its square root.
-func (t *target) learn(took time.Duration, work float64, now time.Time) {
+func (t *target) recordServiceTime(took time.Duration, work float64, now time.Time) {
 	t.recover(now)
 	ratio := took.Seconds() / work
-	if now.Sub(t.paceAt) < paceFresh && t.pace > 0 {
+	if now.Sub(t.paceAt) < paceMaxAge && t.pace > 0 {
 		ratio /= math.Sqrt(t.pace)
 	}
 	ratio = min(max(ratio, minSlowness), maxSlowness)
 	t.slowness += slownessWeight * (ratio - t.slowness)
 }
 
-// count updates the share of failures with a result.
-func (t *target) count(failed bool, now time.Time) {
+// recordOutcome updates the share of failures with a result.
+func (t *target) recordOutcome(failed bool, now time.Time) {
 	t.recover(now)
 	value := 0.0
 	if failed {
@@ -147,19 +147,19 @@
 	if idle <= 0 {
 		return
 	}
-	keep := math.Exp(-idleRecovery * idle)
+	keep := math.Exp(-idleDecayRate * idle)
 	t.slowness = 1 + (t.slowness-1)*keep
 	t.failures *= keep
 }
 
-// pause stops requests to the target for a while, after a connection that was not
+// backOff stops requests to the target for a while, after a connection that was not
 // accepted.
-func (t *target) pause(now time.Time) {
-	t.pauses = min(t.pauses+1, 6)
-	t.pausedUntil = now.Add(min(unreachablePause<<(t.pauses-1), unreachableMax))
+func (t *target) backOff(now time.Time) {
+	t.connectFailures = min(t.connectFailures+1, 6)
+	t.backoffUntil = now.Add(min(connectBackoff<<(t.connectFailures-1), maxConnectBackoff))
 }
 
-// reachable ends a pause after an answer.
-func (t *target) reachable() {
-	t.pauses, t.refused, t.pausedUntil = 0, false, time.Time{}
+// resetBackoff ends a pause after an answer.
+func (t *target) resetBackoff() {
+	t.connectFailures, t.connectionRefused, t.backoffUntil = 0, false, time.Time{}
 }
