--- a/internal/process/permits/desk.go
+++ b/internal/process/permits/desk.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	// answerWithin is how long a broker may take for its first reply: several round
+	// replyTimeout is how long a broker may take for its first reply: several round
 	// trips between failure domains.
-	answerWithin = 60 * time.Millisecond
-	// distrust is how long a broker is not asked after it has failed to reply.
-	distrust = 500 * time.Millisecond
-	// askAgain is how long a request that only the broker can decide waits for the
+	replyTimeout = 60 * time.Millisecond
+	// brokerBackoff is how long a broker is not asked after it has failed to reply.
+	brokerBackoff = 500 * time.Millisecond
+	// resendAfter is how long a request that only the broker can decide waits for the
 	// first reply before it is sent again: the message may have been lost with its
 	// session.
-	askAgain = distrust
-	// queuedCheck is the interval at which a waiting request checks whether its
+	resendAfter = brokerBackoff
+	// aliveCheckInterval is the interval at which a waiting request checks whether its
 	// broker is still alive.
-	queuedCheck = 100 * time.Millisecond
-	// firstNumbers is the size of the range from which a process draws its first
+	aliveCheckInterval = 100 * time.Millisecond
+	// initialNumberRange is the size of the range from which a process draws its first
 	// request number: large enough that consecutive processes of a VM do not
 	// collide, small enough for a short encoding.
-	firstNumbers = 1 << 48
-	// tickEvery is the interval at which the brokers of this VM are ticked.
-	tickEvery = 10 * time.Millisecond
+	initialNumberRange = 1 << 48
+	// tickInterval is the interval at which the brokers of this VM are ticked.
+	tickInterval = 10 * time.Millisecond
 )
 
 // Config configures a Desk.
@@ -66,19 +66,19 @@
 	// broker decides for all VMs. alone decides for this VM only, in place of remote
 	// brokers that do not answer. following holds the view that each of them has
 	// applied: an idle one applies the latest only when it gets a request.
-	broker    *admission.Broker
-	alone     *admission.Broker
-	latest    *fleet.View
-	following map[*admission.Broker]*fleet.View
+	broker   *admission.Broker
+	fallback *admission.Broker
+	latest   *fleet.View
+	applied  map[*admission.Broker]*fleet.View
 	// demand is the measured demand for keys, by service.
 	demand map[string]*keyspace.Load
-	// waiting holds this VM's requests without a decision. queued marks those that
+	// pending holds this VM's requests without a decision. queued marks those that
 	// a remote broker has confirmed as queued, and distrust holds the time before
 	// which a broker is not asked.
-	waiting  map[uint64]chan admission.Decision
-	queued   map[uint64]bool
-	distrust map[string]time.Time
-	ticking  bool
+	pending      map[uint64]chan admission.Decision
+	queued       map[uint64]bool
+	backoffUntil map[string]time.Time
+	ticking      bool
 	// replies are the messages to send after mu has been released.
 	replies []reply
 }
@@ -92,18 +92,18 @@
 // New returns a desk without targets; Update sets them.
 func New(config Config) *Desk {
 	d := &Desk{
-		config: config, demand: map[string]*keyspace.Load{}, waiting: map[uint64]chan admission.Decision{},
-		queued: map[uint64]bool{}, distrust: map[string]time.Time{}, following: map[*admission.Broker]*fleet.View{},
+		config: config, demand: map[string]*keyspace.Load{}, pending: map[uint64]chan admission.Decision{},
+		queued: map[uint64]bool{}, backoffUntil: map[string]time.Time{}, applied: map[*admission.Broker]*fleet.View{},
 	}
-	d.number.Store(rand.Uint64N(firstNumbers))
+	d.number.Store(rand.Uint64N(initialNumberRange))
 	serving := config.Broker
-	serving.Decide = d.decided
+	serving.Decide = d.deliver
 	serving.Serve = func(service string) bool { return config.View().Brokers[service] == config.Self }
 	d.broker = admission.New(serving)
-	alone := config.Broker
-	alone.Decide = d.decided
-	alone.Cautious = true
-	d.alone = admission.New(alone)
+	fallback := config.Broker
+	fallback.Decide = d.deliver
+	fallback.Cautious = true
+	d.fallback = admission.New(fallback)
 	return d
 }
 
@@ -121,19 +121,19 @@
 	now := time.Now()
 	d.mu.Lock()
 	d.latest = view
-	for _, b := range []*admission.Broker{d.broker, d.alone} {
+	for _, b := range []*admission.Broker{d.broker, d.fallback} {
 		if b.Busy() {
-			d.follow(b, now)
+			d.applyLatest(b, now)
 		}
 	}
 	d.mu.Unlock()
 	d.flush()
 }
 
-// follow applies the latest view to a broker. The caller holds mu.
-func (d *Desk) follow(b *admission.Broker, now time.Time) {
-	if d.latest != nil && d.following[b] != d.latest {
-		d.following[b] = d.latest
+// applyLatest applies the latest view to a broker. The caller holds mu.
+func (d *Desk) applyLatest(b *admission.Broker, now time.Time) {
+	if d.latest != nil && d.applied[b] != d.latest {
+		d.applied[b] = d.latest
 		b.Update(d.latest, now)
 	}
 }
@@ -145,22 +145,22 @@
 		broker := d.config.View().Brokers[r.Service]
 		switch {
 		case broker == d.config.Self:
-			return d.acquireHere(ctx, r, d.broker, broker)
-		case broker == "", !d.trusts(broker) && !d.needs(broker, &r):
-			return d.acquireHere(ctx, r, d.alone, "")
+			return d.acquireLocal(ctx, r, d.broker, broker)
+		case broker == "", !d.mayAsk(broker) && !d.needsBroker(broker, &r):
+			return d.acquireLocal(ctx, r, d.fallback, "")
 		}
-		permit, decided, err := d.acquireFrom(ctx, broker, r)
+		permit, decided, err := d.acquireRemote(ctx, broker, r)
 		if decided || err != nil {
 			return permit, err
 		}
 	}
 }
 
-// needs reports whether a request must wait for a slow broker because only the
+// needsBroker reports whether a request must wait for a slow broker because only the
 // broker, which must be alive, can permit it: a local decision sends nothing to cold
 // targets, and a change of the owner of a key reaches this VM up to a second after
 // the broker. Repeats do not wait: they are refused while the broker is slow.
-func (d *Desk) needs(broker string, r *admission.Request) bool {
+func (d *Desk) needsBroker(broker string, r *admission.Request) bool {
 	return !r.Repeat && d.config.Hears(broker) && !hasWarmTarget(d.config.View(), r, time.Now())
 }
 
@@ -187,12 +187,12 @@
 	return false
 }
 
-// trusts reports whether a broker may be asked, that is, whether its last failure to
+// mayAsk reports whether a broker may be asked, that is, whether its last failure to
 // reply is long enough ago.
-func (d *Desk) trusts(broker string) bool {
+func (d *Desk) mayAsk(broker string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Now().After(d.distrust[broker])
+	return time.Now().After(d.backoffUntil[broker])
 }
 
 // register assigns an ID to a request and returns the channel for its decision.
@@ -200,58 +200,58 @@
 	r.ID = admission.ID{VM: d.config.Self, Number: d.number.Add(1)}
 	answer := make(chan admission.Decision, 1)
 	d.mu.Lock()
-	d.waiting[r.ID.Number] = answer
+	d.pending[r.ID.Number] = answer
 	d.mu.Unlock()
 	return answer
 }
 
-// forget undoes register.
-func (d *Desk) forget(number uint64) {
+// unregister undoes register.
+func (d *Desk) unregister(number uint64) {
 	d.mu.Lock()
-	delete(d.waiting, number)
+	delete(d.pending, number)
 	delete(d.queued, number)
 	d.mu.Unlock()
 }
 
-// acquireHere gets a decision from a broker of this VM; name becomes the broker of
+// acquireLocal gets a decision from a broker of this VM; name becomes the broker of
 // the permit.
-func (d *Desk) acquireHere(ctx context.Context, r admission.Request, b *admission.Broker, name string) (Permit, error) {
+func (d *Desk) acquireLocal(ctx context.Context, r admission.Request, b *admission.Broker, name string) (Permit, error) {
 	answer := d.register(&r)
-	defer d.forget(r.ID.Number)
-	d.ask(b, r)
+	defer d.unregister(r.ID.Number)
+	d.submit(b, r)
 	select {
 	case decision := <-answer:
 		return Permit{Decision: decision, Broker: name}, nil
 	case <-ctx.Done():
-		d.endHere(b, admission.End{ID: r.ID, Result: admission.Canceled})
+		d.endLocal(b, admission.End{ID: r.ID, Result: admission.Canceled})
 		return Permit{}, ctx.Err()
 	}
 }
 
-// acquireFrom gets a decision from the broker of another VM. The boolean is false if
+// acquireRemote gets a decision from the broker of another VM. The boolean is false if
 // the broker did not reply in time, so that the request has to be decided again.
-func (d *Desk) acquireFrom(ctx context.Context, broker string, r admission.Request) (Permit, bool, error) {
+func (d *Desk) acquireRemote(ctx context.Context, broker string, r admission.Request) (Permit, bool, error) {
 	answer := d.register(&r)
-	defer d.forget(r.ID.Number)
-	asked := time.Now()
-	d.config.Sender.Send(broker, &peerv1.Control{Kind: &peerv1.Control_PermitRequest{PermitRequest: requestToWire(r, asked)}})
-	timer := time.NewTimer(answerWithin)
+	defer d.unregister(r.ID.Number)
+	sentAt := time.Now()
+	d.config.Sender.Send(broker, &peerv1.Control{Kind: &peerv1.Control_PermitRequest{PermitRequest: requestToWire(r, sentAt)}})
+	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	for {
 		select {
 		case decision := <-answer:
 			return Permit{Decision: decision, Broker: broker}, true, nil
 		case <-ctx.Done():
-			d.endAt(broker, admission.End{ID: r.ID, Result: admission.Canceled})
+			d.endRemote(broker, admission.End{ID: r.ID, Result: admission.Canceled})
 			return Permit{}, true, ctx.Err()
 		case <-timer.C:
-			if d.isQueued(r.ID.Number) && d.config.Hears(broker) || d.needs(broker, &r) && time.Since(asked) < askAgain {
-				timer.Reset(queuedCheck)
+			if d.isQueued(r.ID.Number) && d.config.Hears(broker) || d.needsBroker(broker, &r) && time.Since(sentAt) < resendAfter {
+				timer.Reset(aliveCheckInterval)
 				continue
 			}
-			d.endAt(broker, admission.End{ID: r.ID, Result: admission.Canceled})
+			d.endRemote(broker, admission.End{ID: r.ID, Result: admission.Canceled})
 			d.mu.Lock()
-			d.distrust[broker] = time.Now().Add(distrust)
+			d.backoffUntil[broker] = time.Now().Add(brokerBackoff)
 			d.mu.Unlock()
 			return Permit{}, false, nil
 		}
@@ -270,24 +270,24 @@
 	end := admission.End{ID: p.ID, Result: result, Took: took, Load: load, HasLoad: hasLoad}
 	switch p.Broker {
 	case "":
-		d.endHere(d.alone, end)
+		d.endLocal(d.fallback, end)
 	case d.config.Self:
-		d.endHere(d.broker, end)
+		d.endLocal(d.broker, end)
 	default:
-		d.endAt(p.Broker, end)
+		d.endRemote(p.Broker, end)
 	}
 }
 
-// endHere reports an end to a broker of this VM.
-func (d *Desk) endHere(b *admission.Broker, end admission.End) {
+// endLocal reports an end to a broker of this VM.
+func (d *Desk) endLocal(b *admission.Broker, end admission.End) {
 	d.mu.Lock()
 	b.End(end, time.Now())
 	d.mu.Unlock()
 	d.flush()
 }
 
-// endAt reports an end to the broker of another VM.
-func (d *Desk) endAt(broker string, end admission.End) {
+// endRemote reports an end to the broker of another VM.
+func (d *Desk) endRemote(broker string, end admission.End) {
 	message := &peerv1.PermitEnd{
 		Number: end.ID.Number, Result: peerv1.PermitResult(end.Result), ServiceMicros: uint32(end.Took.Microseconds()),
 	}
@@ -300,13 +300,13 @@
 	d.config.Sender.Send(broker, &peerv1.Control{Kind: &peerv1.Control_PermitEnd{PermitEnd: message}})
 }
 
-// ask submits a request to a broker of this VM. If the broker decides for all VMs,
-// ask also records the demand for the key and confirms a queued request to the VM
+// submit submits a request to a broker of this VM. If the broker decides for all VMs,
+// submit also records the demand for the key and confirms a queued request to the VM
 // that sent it.
-func (d *Desk) ask(b *admission.Broker, r admission.Request) {
+func (d *Desk) submit(b *admission.Broker, r admission.Request) {
 	now := time.Now()
 	d.mu.Lock()
-	d.follow(b, now)
+	d.applyLatest(b, now)
 	if b == d.broker {
 		d.countDemand(r, now)
 	}
@@ -314,7 +314,7 @@
 	if b == d.broker && r.ID.VM != d.config.Self && b.Waiting(r.Service, r.ID) {
 		d.replies = append(d.replies, reply{r.ID.VM, &peerv1.PermitReply{Number: r.ID.Number, Queued: true}})
 	}
-	d.startTicking()
+	d.scheduleTick()
 	d.mu.Unlock()
 	d.flush()
 }
@@ -330,7 +330,7 @@
 	if service == nil || !service.Keyed {
 		return
 	}
-	d.loadOf(r.Service, now).Add(r.Key, d.broker.Work(r.Service, r.Class))
+	d.demandFor(r.Service, now).Add(r.Key, d.broker.Work(r.Service, r.Class))
 }
 
 // Demand calls use with the measured demand for the keys of a service. The value
@@ -338,13 +338,13 @@
 func (d *Desk) Demand(service string, now time.Time, use func(*keyspace.Load)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	load := d.loadOf(service, now)
+	load := d.demandFor(service, now)
 	load.Fade(now)
 	use(load)
 }
 
-// loadOf returns the measured demand for a service. The caller holds mu.
-func (d *Desk) loadOf(service string, now time.Time) *keyspace.Load {
+// demandFor returns the measured demand for a service. The caller holds mu.
+func (d *Desk) demandFor(service string, now time.Time) *keyspace.Load {
 	load := d.demand[service]
 	if load == nil {
 		load = keyspace.NewLoad(now)
@@ -362,12 +362,12 @@
 
 // AdoptRepeats takes over the counts of the broker that this VM replaces, as of the
 // last heartbeat received from it.
-func (d *Desk) AdoptRepeats(counts map[string]admission.RepeatCount, heard time.Time) {
+func (d *Desk) AdoptRepeats(counts map[string]admission.RepeatCount, asOf time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	d.follow(d.broker, now)
-	d.broker.AdoptRepeats(counts, heard, now)
+	d.applyLatest(d.broker, now)
+	d.broker.AdoptRepeats(counts, asOf, now)
 }
 
 // Observe returns what the broker of this VM has measured of a target; false if the
@@ -375,18 +375,18 @@
 func (d *Desk) Observe(service, target string) (admission.Observation, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.follow(d.broker, time.Now())
+	d.applyLatest(d.broker, time.Now())
 	return d.broker.Observe(service, target)
 }
 
-// decided passes a decision to the waiting request of this VM, or queues a reply to
+// deliver passes a decision to the waiting request of this VM, or queues a reply to
 // the VM that asked. The caller holds mu.
-func (d *Desk) decided(decision admission.Decision) {
+func (d *Desk) deliver(decision admission.Decision) {
 	if decision.ID.VM != d.config.Self {
 		d.replies = append(d.replies, reply{decision.ID.VM, decisionToWire(decision)})
 		return
 	}
-	if answer := d.waiting[decision.ID.Number]; answer != nil {
+	if answer := d.pending[decision.ID.Number]; answer != nil {
 		select {
 		case answer <- decision:
 		default:
@@ -405,23 +405,23 @@
 	}
 }
 
-// startTicking schedules the next tick if a broker has any request. The caller holds
+// scheduleTick schedules the next tick if a broker has any request. The caller holds
 // mu.
-func (d *Desk) startTicking() {
-	if d.ticking || !d.broker.Busy() && !d.alone.Busy() {
+func (d *Desk) scheduleTick() {
+	if d.ticking || !d.broker.Busy() && !d.fallback.Busy() {
 		return
 	}
 	d.ticking = true
-	time.AfterFunc(tickEvery, d.tick)
+	time.AfterFunc(tickInterval, d.tick)
 }
 
 func (d *Desk) tick() {
 	now := time.Now()
 	d.mu.Lock()
 	d.broker.Tick(now)
-	d.alone.Tick(now)
+	d.fallback.Tick(now)
 	d.ticking = false
-	d.startTicking()
+	d.scheduleTick()
 	d.mu.Unlock()
 	d.flush()
 }
@@ -431,21 +431,21 @@
 func (d *Desk) Handle(from peer.Peer, message *peerv1.Control) bool {
 	switch kind := message.Kind.(type) {
 	case *peerv1.Control_PermitRequest:
-		d.ask(d.broker, requestFromWire(from.VM, kind.PermitRequest, time.Now()))
+		d.submit(d.broker, requestFromWire(from.VM, kind.PermitRequest, time.Now()))
 	case *peerv1.Control_PermitReply:
-		d.receive(from.VM, kind.PermitReply)
+		d.handleReply(from.VM, kind.PermitReply)
 	case *peerv1.Control_PermitEnd:
-		d.endHere(d.broker, endFromWire(from.VM, kind.PermitEnd))
+		d.endLocal(d.broker, endFromWire(from.VM, kind.PermitEnd))
 	default:
 		return false
 	}
 	return true
 }
 
-// receive processes a broker's reply to a request of this VM.
-func (d *Desk) receive(broker string, message *peerv1.PermitReply) {
+// handleReply processes a broker's reply to a request of this VM.
+func (d *Desk) handleReply(broker string, message *peerv1.PermitReply) {
 	d.mu.Lock()
-	answer := d.waiting[message.Number]
+	answer := d.pending[message.Number]
 	if message.Queued {
 		if answer != nil {
 			d.queued[message.Number] = true
@@ -465,7 +465,7 @@
 	d.mu.Unlock()
 	if !delivered && decision.Refused == "" {
 		// The request was abandoned in the meantime, or already has a decision.
-		d.endAt(broker, admission.End{ID: decision.ID, Result: admission.Canceled})
+		d.endRemote(broker, admission.End{ID: decision.ID, Result: admission.Canceled})
 	}
 }
 
