--- a/internal/process/permits/desk_test.go
+++ b/internal/process/permits/desk_test.go
@@ -24,10 +24,10 @@
 	desks map[string]*permits.Desk
 	// cut holds the VMs that can neither send nor receive messages.
 	cut map[string]bool
-	// takes is the delay of a message, at least 2 ms.
-	takes time.Duration
-	// deaf is set while no VM considers the broker alive.
-	deaf bool
+	// delay is the delay of a message, at least 2 ms.
+	delay time.Duration
+	// brokerSilent is set while no VM considers the broker alive.
+	brokerSilent bool
 }
 
 type sender struct {
@@ -37,10 +37,10 @@
 
 func (s sender) Send(vm string, message *peerv1.Control) {
 	s.network.mu.Lock()
-	takes := s.network.takes
+	delay := s.network.delay
 	s.network.mu.Unlock()
 	go func() {
-		time.Sleep(max(takes, 2*time.Millisecond))
+		time.Sleep(max(delay, 2*time.Millisecond))
 		s.network.mu.Lock()
 		desk, cut := s.network.desks[vm], s.network.cut[vm] || s.network.cut[s.vm]
 		s.network.mu.Unlock()
@@ -54,8 +54,8 @@
 	panic("permits: unexpected call")
 }
 
-// view returns a view with one target of one slot, t0, for service s.
-func view() *fleet.View {
+// newView returns a newView with one target of one slot, t0, for service s.
+func newView() *fleet.View {
 	config := &fleet.Config{Version: 1, Services: []fleet.Service{{Name: "s"}}}
 	config.Index()
 	return &fleet.View{
@@ -68,7 +68,7 @@
 
 func newNetwork(vms ...string) *network {
 	n := &network{desks: map[string]*permits.Desk{}, cut: map[string]bool{}}
-	shared := view()
+	shared := newView()
 	for _, vm := range vms {
 		n.start(vm, shared)
 	}
@@ -83,7 +83,7 @@
 		Hears: func(string) bool {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return !n.cut["broker"] && !n.deaf
+			return !n.cut["broker"] && !n.brokerSilent
 		},
 	})
 	desk.Update(shared)
@@ -181,7 +181,7 @@
 // keyedView returns a view in which s is keyed; t0 owns all keys if owned is set,
 // otherwise nobody does.
 func keyedView(owned bool) *fleet.View {
-	v := view()
+	v := newView()
 	v.Config.Services[0].Keyed = true
 	if owned {
 		v.Slices = map[string][]fleet.Slice{"s": {{Last: fleet.Keys - 1, Owner: v.Targets["t0"].Life, Ready: true}}}
@@ -189,12 +189,12 @@
 	return v
 }
 
-// startLate starts a broker that knows the owner of the keys and a VM that does not
+// startSlowNetwork starts a broker that knows the owner of the keys and a VM that does not
 // know it yet. A round trip takes longer than the time that a broker has for its
 // first reply.
-func startLate() *network {
+func startSlowNetwork() *network {
 	n := newNetwork()
-	n.takes = 40 * time.Millisecond
+	n.delay = 40 * time.Millisecond
 	n.start("broker", keyedView(true))
 	n.start("a", keyedView(false))
 	return n
@@ -204,7 +204,7 @@
 // of a key yet refuses no requests for it while the broker is alive.
 func TestLateBrokerDecidesWhatOnlyItKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := startLate()
+		n := startSlowNetwork()
 		for range 3 {
 			permit, err := n.desks["a"].Acquire(t.Context(), request())
 			assert.NilError(t, err)
@@ -224,8 +224,8 @@
 func TestLateBrokerDecidesOnColdTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.takes = 40 * time.Millisecond
-		shared := view()
+		n.delay = 40 * time.Millisecond
+		shared := newView()
 		n.start("broker", shared)
 		n.start("a", shared)
 		repeated := request()
@@ -247,7 +247,7 @@
 // within the deadline while the broker is alive.
 func TestLostQuestionIsAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := startLate()
+		n := startSlowNetwork()
 		n.cut["a"] = true
 		time.AfterFunc(100*time.Millisecond, func() {
 			n.mu.Lock()
@@ -270,8 +270,8 @@
 // does not seem to be alive, so that the caller can try another VM.
 func TestUnheardBrokerIsNotAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := startLate()
-		n.cut["a"], n.deaf = true, true
+		n := startSlowNetwork()
+		n.cut["a"], n.brokerSilent = true, true
 		began := time.Now()
 		permit, err := n.desks["a"].Acquire(t.Context(), request())
 		assert.NilError(t, err)
@@ -287,7 +287,7 @@
 func TestRequestOfAFormerProcessIsNotAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork("broker", "a", "b")
-		shared := view()
+		shared := newView()
 		shared.Config.Services = append(shared.Config.Services, fleet.Service{Name: "other"})
 		shared.Config.Index()
 		shared.Targets["u0"] = &fleet.Target{Life: fleet.Life{ID: "u0", Born: 1}, Service: "other", Slots: 1}
@@ -334,7 +334,7 @@
 		n := newNetwork("broker")
 		n.cut["broker"] = true
 		for _, id := range []string{"t1", "t2"} {
-			next := *view()
+			next := *newView()
 			next.Targets = map[string]*fleet.Target{id: {Life: fleet.Life{ID: id, Born: 1}, Service: "s", Slots: 1}}
 			n.desks["broker"].Update(&next)
 		}
@@ -350,7 +350,7 @@
 // permits: they get a view for every change of the targets. The bound is on the ratio
 // to a broker that applies each view, measured side by side, the best of ten runs.
 func TestViewsCostAnIdleDeskNothing(t *testing.T) {
-	base := view()
+	base := newView()
 	for i := range 3000 {
 		id := fmt.Sprint("target-", i)
 		base.Targets[id] = &fleet.Target{Life: fleet.Life{ID: id, Born: 1}, Service: "s", Slots: 1}
--- a/internal/request/admission/load_test.go
+++ b/internal/request/admission/load_test.go
@@ -16,19 +16,19 @@
 // browse is the load that most tests play; with sets its rate.
 var browse = load{service: "s", class: "browse", work: 60 * time.Millisecond, aim: 200 * time.Millisecond, deadline: 500 * time.Millisecond, domain: "a"}
 
-// with returns a load at a rate in requests per second.
-func with(l load, perS float64) load {
-	l.perS = perS
+// withRate returns a load at a rate in requests per second.
+func withRate(l load, perSecond float64) load {
+	l.perSecond = perSecond
 	return l
 }
 
 // TestCalmLoadMeetsItsAim checks that at half of the capacity nearly all requests meet
 // their aim.
 func TestCalmLoadMeetsItsAim(t *testing.T) {
-	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
-	p.arrive(with(browse, 130), 0, 20*time.Second)
-	p.until(21 * time.Second)
-	assert.Assert(t, p.share(every, (*played).inAim) > 0.99, "%f", p.share(every, (*played).inAim))
+	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 8))
+	p.scheduleLoad(withRate(browse, 130), 0, 20*time.Second)
+	p.runUntil(21 * time.Second)
+	assert.Assert(t, p.share(anyRequest, (*simulatedRequest).inAim) > 0.99, "%f", p.share(anyRequest, (*simulatedRequest).inAim))
 }
 
 // TestCalmLoadStaysNearby checks that at a third of the capacity requests stay in
@@ -36,7 +36,7 @@
 // are quicker, and still meet their aim. A busy service uses all targets.
 func TestCalmLoadStaysNearby(t *testing.T) {
 	nearby := func(perS float64) (inDomain, connected, inAim float64) {
-		p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 16))
+		p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 16))
 		p.vms = 10
 		p.slowness = func(target string, _ time.Time) float64 {
 			if p.view.Targets[target].FailureDomain == "a" {
@@ -44,19 +44,19 @@
 			}
 			return 0.95
 		}
-		p.arrive(with(browse, perS), 0, 20*time.Second)
-		p.until(21 * time.Second)
+		p.scheduleLoad(withRate(browse, perS), 0, 20*time.Second)
+		p.runUntil(21 * time.Second)
 		used := map[string]time.Time{}
 		sort.Slice(p.done, func(i, j int) bool { return p.done[i].startedAt.Before(p.done[j].startedAt) })
-		reused := func(r *played) bool {
+		reused := func(r *simulatedRequest) bool {
 			pair := r.ID.VM + ">" + r.target
 			last, known := used[pair]
 			used[pair] = r.startedAt
 			return known && r.startedAt.Sub(last) < 7*time.Second
 		}
-		served := func(r *played) bool { return r.refused == "" }
-		return p.share(served, func(r *played) bool { return p.view.Targets[r.target].FailureDomain == "a" }),
-			p.share(served, reused), p.share(every, (*played).inAim)
+		served := func(r *simulatedRequest) bool { return r.refused == "" }
+		return p.share(served, func(r *simulatedRequest) bool { return p.view.Targets[r.target].FailureDomain == "a" }),
+			p.share(served, reused), p.share(anyRequest, (*simulatedRequest).inAim)
 	}
 	inDomain, connected, inAim := nearby(16 * 2 / 0.060 / 3 / 2)
 	assert.Check(t, inDomain > 0.95, "%f of the requests stayed in their failure domain", inDomain)
@@ -71,13 +71,13 @@
 // the requests that are served meet their aim: no capacity is spent on late answers.
 func TestOverloadKeepsCapacityForAims(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
-		p := newPlay(usual(), fleetOf(fleet.Service{Name: "s", Keyed: keyed}, 8))
+		p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s", Keyed: keyed}, 8))
 		capacity := 16 / 0.060
-		l := with(browse, 1.5*capacity)
+		l := withRate(browse, 1.5*capacity)
 		l.key = func(r *rand.Rand) uint16 { return uint16(r.IntN(fleet.Keys)) }
-		p.arrive(l, 0, 20*time.Second)
-		p.until(21 * time.Second)
-		inAim := p.share(every, (*played).inAim)
+		p.scheduleLoad(l, 0, 20*time.Second)
+		p.runUntil(21 * time.Second)
+		inAim := p.share(anyRequest, (*simulatedRequest).inAim)
 		assert.Assert(t, inAim > 0.85/1.5, "keyed %v: %f of the requests met their aim", keyed, inAim)
 	}
 }
@@ -86,13 +86,13 @@
 // deadline are refused within an eighth of their aim.
 func TestRefusalsComeAtOnce(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
-		p := newPlay(usual(), fleetOf(fleet.Service{Name: "s", Keyed: keyed}, 8))
-		l := with(browse, 1.5*16/0.060)
+		p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s", Keyed: keyed}, 8))
+		l := withRate(browse, 1.5*16/0.060)
 		l.key = func(r *rand.Rand) uint16 { return uint16(r.IntN(fleet.Keys)) }
-		p.arrive(l, 0, 20*time.Second)
-		p.until(21 * time.Second)
-		refused := func(r *played) bool { return r.refused != "" }
-		atOnce := p.share(refused, func(r *played) bool { return r.endedAt.Sub(r.arrivedAt) <= l.aim/8 })
+		p.scheduleLoad(l, 0, 20*time.Second)
+		p.runUntil(21 * time.Second)
+		refused := func(r *simulatedRequest) bool { return r.refused != "" }
+		atOnce := p.share(refused, func(r *simulatedRequest) bool { return r.endedAt.Sub(r.arrivedAt) <= l.aim/8 })
 		assert.Assert(t, atOnce > 0.9, "keyed %v: %f of the refusals came within an eighth of the aim", keyed, atOnce)
 	}
 }
@@ -100,27 +100,27 @@
 // TestHotOwnerDoesNotDelayOthers checks that requests for other keys meet their aim
 // while the keys of one owner get five times its capacity.
 func TestHotOwnerDoesNotDelayOthers(t *testing.T) {
-	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s", Keyed: true}, 8))
-	hot, cool := with(browse, 160), with(browse, 100)
+	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s", Keyed: true}, 8))
+	hot, cool := withRate(browse, 160), withRate(browse, 100)
 	hot.key = func(r *rand.Rand) uint16 { return uint16(r.IntN(200)) }
 	cool.key = func(r *rand.Rand) uint16 { return uint16(fleet.Keys/8 + r.IntN(fleet.Keys*7/8)) }
-	p.arrive(hot, 0, 10*time.Second)
-	p.arrive(cool, 0, 10*time.Second)
-	p.until(11 * time.Second)
-	others := p.share(func(r *played) bool { return r.Key >= fleet.Keys/8 }, (*played).inAim)
+	p.scheduleLoad(hot, 0, 10*time.Second)
+	p.scheduleLoad(cool, 0, 10*time.Second)
+	p.runUntil(11 * time.Second)
+	others := p.share(func(r *simulatedRequest) bool { return r.Key >= fleet.Keys/8 }, (*simulatedRequest).inAim)
 	assert.Assert(t, others > 0.97, "%f", others)
 }
 
 // TestUrgentRequestsRunFirst checks that under overload requests of the higher
 // priority meet their aim.
 func TestUrgentRequestsRunFirst(t *testing.T) {
-	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 4))
-	urgent, other := with(browse, 60), with(browse, 200)
+	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 4))
+	urgent, other := withRate(browse, 60), withRate(browse, 200)
 	urgent.priority, urgent.class, other.priority = 1, "urgent", 2
-	p.arrive(urgent, 0, 10*time.Second)
-	p.arrive(other, 0, 10*time.Second)
-	p.until(11 * time.Second)
-	served := p.share(func(r *played) bool { return r.Class == "urgent" }, (*played).inAim)
+	p.scheduleLoad(urgent, 0, 10*time.Second)
+	p.scheduleLoad(other, 0, 10*time.Second)
+	p.runUntil(11 * time.Second)
+	served := p.share(func(r *simulatedRequest) bool { return r.Class == "urgent" }, (*simulatedRequest).inAim)
 	assert.Assert(t, served > 0.95, "%f", served)
 }
 
@@ -142,15 +142,15 @@
 func TestColdTargetIsPaced(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
 		view := fleetOf(fleet.Service{Name: "s", Keyed: keyed, Cold: 3 * time.Second, ColdRate: 11}, 4)
-		p := newPlay(usual(), view)
+		p := newSimulation(defaultConfig(), view)
 		view = withCold(view, p.start.Add(5*time.Second), "t0")
 		p.broker.Update(view, p.start)
-		l := with(browse, 200)
+		l := withRate(browse, 200)
 		l.work = 10 * time.Millisecond
 		l.key = func(r *rand.Rand) uint16 { return uint16(r.IntN(fleet.Keys)) }
-		p.arrive(l, 0, 5*time.Second)
-		p.until(5 * time.Second)
-		most := p.mostWithin("t0", time.Second, view.Targets["t0"].ColdUntil)
+		p.scheduleLoad(l, 0, 5*time.Second)
+		p.runUntil(5 * time.Second)
+		most := p.maxStartsWithin("t0", time.Second, view.Targets["t0"].ColdUntil)
 		assert.Assert(t, most <= 21, "keyed %v: %d requests within a second", keyed, most)
 		assert.Assert(t, most > 5, "keyed %v: the cold target got only %d requests within a second", keyed, most)
 	}
@@ -160,60 +160,60 @@
 // requests of other VMs sends nothing to cold targets.
 func TestCautiousBrokerSparesColdTargets(t *testing.T) {
 	view := fleetOf(fleet.Service{Name: "s", ColdRate: 11}, 2)
-	config := usual()
+	config := defaultConfig()
 	config.Cautious = true
-	p := newPlay(config, view)
+	p := newSimulation(config, view)
 	p.broker.Update(withCold(view, p.start.Add(time.Hour), "t0", "t1"), p.start)
 	r := p.ask(browse)
-	p.until(time.Second)
+	p.runUntil(time.Second)
 	assert.Equal(t, r.target, "")
 }
 
 // TestSlowTargetGetsLess checks that requests meet their aim although one of eight
 // targets takes eight times as long: the others have the capacity to do without it.
 func TestSlowTargetGetsLess(t *testing.T) {
-	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
+	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 8))
 	p.slowness = func(target string, _ time.Time) float64 {
 		if target == "t3" {
 			return 8
 		}
 		return 1
 	}
-	p.arrive(with(browse, 130), 0, 20*time.Second)
-	p.until(22 * time.Second)
-	assert.Assert(t, p.share(every, (*played).inAim) > 0.97, "%f", p.share(every, (*played).inAim))
+	p.scheduleLoad(withRate(browse, 130), 0, 20*time.Second)
+	p.runUntil(22 * time.Second)
+	assert.Assert(t, p.share(anyRequest, (*simulatedRequest).inAim) > 0.97, "%f", p.share(anyRequest, (*simulatedRequest).inAim))
 }
 
 // TestFailingTargetGetsLess checks that a target that refuses nearly half of its
 // requests, while its health checks pass, gets few requests but is tried again.
 func TestFailingTargetGetsLess(t *testing.T) {
-	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
+	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 8))
 	p.fails = func(target string) bool { return target == "t3" && p.random.Float64() < 0.45 }
-	p.arrive(with(browse, 130), 0, 20*time.Second)
-	p.until(22 * time.Second)
-	toGrey := p.share(every, func(r *played) bool { return r.target == "t3" })
-	assert.Assert(t, toGrey < 0.5/8, "%f of the requests went to the failing target", toGrey)
-	assert.Assert(t, toGrey > 0, "the failing target was not tried again")
+	p.scheduleLoad(withRate(browse, 130), 0, 20*time.Second)
+	p.runUntil(22 * time.Second)
+	toFailing := p.share(anyRequest, func(r *simulatedRequest) bool { return r.target == "t3" })
+	assert.Assert(t, toFailing < 0.5/8, "%f of the requests went to the failing target", toFailing)
+	assert.Assert(t, toFailing > 0, "the failing target was not tried again")
 }
 
 // TestRepeatsStayWithinTheBudget checks the budget in every window while each request
 // is repeated once.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
-	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
+	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 8))
 	for i := range 3000 {
 		at := time.Duration(i) * 10 * time.Millisecond
-		p.at(p.start.Add(at), func() {
+		p.schedule(p.start.Add(at), func() {
 			p.ask(browse)
 		})
 	}
 	for i := range 3000 {
 		at := time.Duration(i)*10*time.Millisecond + time.Millisecond
-		p.at(p.start.Add(at), func() { p.askRepeat(browse) })
+		p.schedule(p.start.Add(at), func() { p.askRepeat(browse) })
 	}
-	p.until(31 * time.Second)
+	p.runUntil(31 * time.Second)
 	window := 10 * time.Second
 	for from := time.Duration(0); from <= 20*time.Second; from += 500 * time.Millisecond {
-		inside := func(r *played) bool {
+		inside := func(r *simulatedRequest) bool {
 			at := r.arrivedAt.Sub(p.start)
 			return at >= from && at < from+window
 		}
@@ -241,7 +241,7 @@
 	var brokers []*admission.Broker
 	var repeated []time.Time
 	now := time.Unix(1700000000, 0)
-	config := usual()
+	config := defaultConfig()
 	config.Decide = func(d admission.Decision) {
 		if d.Refused == "" && d.ID.VM == "repeat" {
 			repeated = append(repeated, now)
@@ -293,23 +293,23 @@
 // TestLargeRequestsStayInTheirDomain checks that large requests stay in their failure
 // domain while a target there becomes free in time.
 func TestLargeRequestsStayInTheirDomain(t *testing.T) {
-	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 8))
-	l := with(browse, 60)
+	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 8))
+	l := withRate(browse, 60)
 	l.large = true
-	p.arrive(l, 0, 10*time.Second)
-	p.until(11 * time.Second)
-	local := p.share(every, func(r *played) bool { return p.view.Targets[r.target].FailureDomain == "a" })
+	p.scheduleLoad(l, 0, 10*time.Second)
+	p.runUntil(11 * time.Second)
+	local := p.share(anyRequest, func(r *simulatedRequest) bool { return p.view.Targets[r.target].FailureDomain == "a" })
 	assert.Assert(t, local > 0.95, "%f", local)
-	assert.Assert(t, p.share(every, (*played).inAim) > 0.97)
+	assert.Assert(t, p.share(anyRequest, (*simulatedRequest).inAim) > 0.97)
 }
 
 // TestNothingIsSentToTargetsThatLeave checks that targets that are leaving or in an
 // evacuated failure domain get no requests once the view says so.
 func TestNothingIsSentToTargetsThatLeave(t *testing.T) {
 	view := fleetOf(fleet.Service{Name: "s"}, 4)
-	p := newPlay(usual(), view)
-	p.arrive(with(browse, 100), 0, 4*time.Second)
-	p.at(p.start.Add(time.Second), func() {
+	p := newSimulation(defaultConfig(), view)
+	p.scheduleLoad(withRate(browse, 100), 0, 4*time.Second)
+	p.schedule(p.start.Add(time.Second), func() {
 		next := *view
 		next.Targets = map[string]*fleet.Target{}
 		for id, target := range view.Targets {
@@ -320,7 +320,7 @@
 		next.Evacuated = map[string]bool{"b": true}
 		p.broker.Update(&next, p.now)
 	})
-	p.until(5 * time.Second)
+	p.runUntil(5 * time.Second)
 	for _, r := range p.done {
 		if r.startedAt.After(p.start.Add(time.Second)) {
 			assert.Equal(t, r.target, "t2")
@@ -332,7 +332,7 @@
 // free again after the deadline of the request.
 func TestPermitWithoutEndIsGivenUp(t *testing.T) {
 	var decisions []admission.Decision
-	config := usual()
+	config := defaultConfig()
 	config.Decide = func(d admission.Decision) { decisions = append(decisions, d) }
 	broker := admission.New(config)
 	view := fleetOf(fleet.Service{Name: "s"}, 1)
@@ -357,17 +357,17 @@
 // TestConnectionsAreReused checks that a VM prefers targets to which it has
 // connections while they are as good as others.
 func TestConnectionsAreReused(t *testing.T) {
-	p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, 20))
+	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 20))
 	p.vms = 40
-	p.arrive(with(browse, 100), 0, 20*time.Second)
-	p.until(21 * time.Second)
+	p.scheduleLoad(withRate(browse, 100), 0, 20*time.Second)
+	p.runUntil(21 * time.Second)
 	last := map[string]time.Time{}
-	reused := p.share(every, func(r *played) bool {
+	reused := p.share(anyRequest, func(r *simulatedRequest) bool {
 		pair := r.ID.VM + ">" + r.target
 		kept := r.startedAt.Sub(last[pair]) < 7*time.Second
 		last[pair] = r.startedAt
 		return kept
 	})
 	assert.Assert(t, reused > 0.75, "%f of the requests went to a target that their VM used in the last 7 s", reused)
-	assert.Assert(t, p.share(every, (*played).inAim) > 0.98)
+	assert.Assert(t, p.share(anyRequest, (*simulatedRequest).inAim) > 0.98)
 }
--- a/internal/request/admission/play_test.go
+++ b/internal/request/admission/play_test.go
@@ -13,15 +13,15 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// play simulates a load on a broker in virtual time. Targets run every request that
+// simulation simulates a load on a broker in virtual time. Targets run every request that
 // is permitted: it takes its work times the target's slowness.
-type play struct {
+type simulation struct {
 	broker *admission.Broker
 	view   *fleet.View
 	now    time.Time
 	start  time.Time
 	random *rand.Rand
-	events agenda
+	events eventQueue
 	number uint64
 	// vms is the number of VMs that send requests; 0 means one.
 	vms int
@@ -29,13 +29,13 @@
 	slowness func(target string, now time.Time) float64
 	// fails reports whether a target refuses a request.
 	fails func(target string) bool
-	// open holds the requests that are queued or in flight, done the finished ones.
-	open map[uint64]*played
-	done []*played
+	// inFlight holds the requests that are queued or in flight, done the finished ones.
+	inFlight map[uint64]*simulatedRequest
+	done     []*simulatedRequest
 }
 
-// played is one request and its outcome.
-type played struct {
+// simulatedRequest is one request and its outcome.
+type simulatedRequest struct {
 	admission.Request
 	work      time.Duration
 	arrivedAt time.Time
@@ -46,34 +46,34 @@
 	retry     time.Duration
 }
 
-func (p *played) inAim() bool { return p.refused == "" && !p.endedAt.After(p.Aim) }
+func (p *simulatedRequest) inAim() bool { return p.refused == "" && !p.endedAt.After(p.Aim) }
 
-// happening is a scheduled action of the simulation.
-type happening struct {
+// event is a scheduled action of the simulation.
+type event struct {
 	at time.Time
 	do func()
 }
 
-// agenda is a heap of scheduled actions, the earliest first.
-type agenda []happening
+// eventQueue is a heap of scheduled actions, the earliest first.
+type eventQueue []event
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)        { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return last
 }
 
-// tickEvery is the interval at which Tick is called.
-const tickEvery = 10 * time.Millisecond
+// tickInterval is the interval at which Tick is called.
+const tickInterval = 10 * time.Millisecond
 
-func newPlay(config admission.Config, view *fleet.View) *play {
-	p := &play{
-		view: view, now: time.Unix(1700000000, 0), random: rand.New(rand.NewPCG(seed.Value, 1)), open: map[uint64]*played{},
+func newSimulation(config admission.Config, view *fleet.View) *simulation {
+	p := &simulation{
+		view: view, now: time.Unix(1700000000, 0), random: rand.New(rand.NewPCG(seed.Value, 1)), inFlight: map[uint64]*simulatedRequest{},
 	}
 	p.start = p.now
 	config.Decide = p.decided
@@ -82,23 +82,23 @@
 	return p
 }
 
-// at schedules an action.
-func (p *play) at(t time.Time, do func()) { heap.Push(&p.events, happening{t, do}) }
+// schedule schedules an action.
+func (p *simulation) schedule(t time.Time, do func()) { heap.Push(&p.events, event{t, do}) }
 
-// until runs the simulation with ticks up to a time after the start, and then until
+// runUntil runs the simulation with ticks up to a time after the start, and then runUntil
 // no actions are left.
-func (p *play) until(after time.Duration) {
+func (p *simulation) runUntil(after time.Duration) {
 	end := p.start.Add(after)
 	var tick func()
 	tick = func() {
 		p.broker.Tick(p.now)
 		if p.now.Before(end) {
-			p.at(p.now.Add(tickEvery), tick)
+			p.schedule(p.now.Add(tickInterval), tick)
 		}
 	}
-	p.at(p.now, tick)
+	p.schedule(p.now, tick)
 	for len(p.events) > 0 {
-		next := heap.Pop(&p.events).(happening)
+		next := heap.Pop(&p.events).(event)
 		p.now = next.at
 		next.do()
 	}
@@ -106,38 +106,38 @@
 
 // load describes requests that arrive as a Poisson process at perS per second.
 type load struct {
-	service  string
-	class    string
-	perS     float64
-	work     time.Duration
-	aim      time.Duration
-	deadline time.Duration
-	priority int
-	domain   string
-	large    bool
-	key      func(*rand.Rand) uint16
+	service   string
+	class     string
+	perSecond float64
+	work      time.Duration
+	aim       time.Duration
+	deadline  time.Duration
+	priority  int
+	domain    string
+	large     bool
+	key       func(*rand.Rand) uint16
 }
 
-// arrive schedules the arrivals of a load between two times after the start.
-func (p *play) arrive(l load, from, to time.Duration) {
+// scheduleLoad schedules the arrivals of a load between two times after the start.
+func (p *simulation) scheduleLoad(l load, from, to time.Duration) {
 	for at := from; ; {
-		at += time.Duration(p.random.ExpFloat64() / l.perS * float64(time.Second))
+		at += time.Duration(p.random.ExpFloat64() / l.perSecond * float64(time.Second))
 		if at > to {
 			return
 		}
-		p.at(p.start.Add(at), func() { p.ask(l) })
+		p.schedule(p.start.Add(at), func() { p.ask(l) })
 	}
 }
 
 // ask asks for a permit for a request of a load.
-func (p *play) ask(l load) *played { return p.askFor(l, false) }
+func (p *simulation) ask(l load) *simulatedRequest { return p.askFor(l, false) }
 
 // askRepeat asks for a permit for a request that has been sent before.
-func (p *play) askRepeat(l load) *played { return p.askFor(l, true) }
+func (p *simulation) askRepeat(l load) *simulatedRequest { return p.askFor(l, true) }
 
-func (p *play) askFor(l load, repeat bool) *played {
+func (p *simulation) askFor(l load, repeat bool) *simulatedRequest {
 	p.number++
-	r := &played{
+	r := &simulatedRequest{
 		arrivedAt: p.now, work: time.Duration((0.5 + p.random.Float64()) * float64(l.work)),
 		Request: admission.Request{
 			ID: admission.ID{VM: fmt.Sprint("vm", p.random.IntN(max(p.vms, 1))), Number: p.number}, Service: l.service, Class: l.class, Domain: l.domain,
@@ -147,14 +147,14 @@
 	if l.key != nil {
 		r.Key = l.key(p.random)
 	}
-	p.open[p.number] = r
+	p.inFlight[p.number] = r
 	p.broker.Ask(r.Request, p.now)
 	return r
 }
 
 // decided runs a permitted request at its target and finishes a refused one.
-func (p *play) decided(d admission.Decision) {
-	r := p.open[d.ID.Number]
+func (p *simulation) decided(d admission.Decision) {
+	r := p.inFlight[d.ID.Number]
 	if d.Refused != "" {
 		r.refused, r.retry, r.endedAt = d.Refused, d.RetryAfter, p.now
 		p.finish(r)
@@ -169,21 +169,21 @@
 	if p.fails != nil && p.fails(r.target) {
 		result, took = admission.NotRun, time.Millisecond
 	}
-	p.at(p.now.Add(took), func() {
+	p.schedule(p.now.Add(took), func() {
 		r.endedAt = p.now
 		p.broker.End(admission.End{ID: d.ID, Result: result, Took: took}, p.now)
 		p.finish(r)
 	})
 }
 
-func (p *play) finish(r *played) {
-	delete(p.open, r.ID.Number)
+func (p *simulation) finish(r *simulatedRequest) {
+	delete(p.inFlight, r.ID.Number)
 	p.done = append(p.done, r)
 }
 
 // share returns the share of the finished requests selected by of for which a
 // condition holds; NaN if none are selected.
-func (p *play) share(of func(*played) bool, holds func(*played) bool) float64 {
+func (p *simulation) share(of func(*simulatedRequest) bool, holds func(*simulatedRequest) bool) float64 {
 	all, found := 0, 0
 	for _, r := range p.done {
 		if !of(r) {
@@ -200,11 +200,11 @@
 	return float64(found) / float64(all)
 }
 
-func every(*played) bool { return true }
+func anyRequest(*simulatedRequest) bool { return true }
 
-// mostWithin returns the largest number of requests that a target started in any
+// maxStartsWithin returns the largest number of requests that a target started in any
 // window before the given time.
-func (p *play) mostWithin(target string, window time.Duration, until time.Time) int {
+func (p *simulation) maxStartsWithin(target string, window time.Duration, until time.Time) int {
 	var starts []time.Time
 	for _, r := range p.done {
 		if r.target == target && r.startedAt.Before(until) {
@@ -245,6 +245,6 @@
 
 var budget = admission.Budget{Ratio: 0.2, Allowance: 100, Window: 10 * time.Second}
 
-func usual() admission.Config {
+func defaultConfig() admission.Config {
 	return admission.Config{Budget: budget, ColdFactor: 1.5}
 }
--- a/internal/request/admission/scale_test.go
+++ b/internal/request/admission/scale_test.go
@@ -17,13 +17,13 @@
 // capacity and a short peak above it, and that a VM uses only a part of the targets.
 func TestManyTargetsServeAsFewDo(t *testing.T) {
 	served := func(targets, vms int) (inAim, afterwards float64, used map[string]map[string]bool) {
-		p := newPlay(usual(), fleetOf(fleet.Service{Name: "s"}, targets))
+		p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, targets))
 		p.vms = vms
 		p.slowness = func(target string, _ time.Time) float64 { return []float64{0.7, 0.7, 1.6}[target[len(target)-1]%3] }
 		capacity := float64(targets) * 2 / 0.060
-		p.arrive(with(browse, capacity*0.66), 0, 4*time.Second)
-		p.arrive(with(browse, capacity*0.9), time.Second, 1500*time.Millisecond)
-		p.until(5 * time.Second)
+		p.scheduleLoad(withRate(browse, capacity*0.66), 0, 4*time.Second)
+		p.scheduleLoad(withRate(browse, capacity*0.9), time.Second, 1500*time.Millisecond)
+		p.runUntil(5 * time.Second)
 		used = map[string]map[string]bool{}
 		for _, r := range p.done {
 			if used[r.ID.VM] == nil {
@@ -31,8 +31,8 @@
 			}
 			used[r.ID.VM][r.target] = true
 		}
-		late := func(r *played) bool { return r.arrivedAt.Sub(p.start) > 2500*time.Millisecond }
-		return p.share(every, (*played).inAim), p.share(late, (*played).inAim), used
+		afterPeak := func(r *simulatedRequest) bool { return r.arrivedAt.Sub(p.start) > 2500*time.Millisecond }
+		return p.share(anyRequest, (*simulatedRequest).inAim), p.share(afterPeak, (*simulatedRequest).inAim), used
 	}
 	few, fewAfterwards, _ := served(54, 18)
 	many, manyAfterwards, used := served(400, 150)
