--- a/internal/process/permits/desk.go
+++ b/internal/process/permits/desk.go
@@ -63,8 +63,8 @@
 	number atomic.Uint64
 
 	mu sync.Mutex
-	// broker decides for all VMs. alone decides for this VM only, in place of remote
-	// brokers that do not answer. following holds the view that each of them has
+	// broker decides for all VMs. fallback decides for this VM only, in place of remote
+	// brokers that do not reply. applied holds the view that each of the two has
 	// applied: an idle one applies the latest only when it gets a request.
 	broker   *admission.Broker
 	fallback *admission.Broker
@@ -73,8 +73,8 @@
 	// demand is the measured demand for keys, by service.
 	demand map[string]*keyspace.Load
 	// pending holds this VM's requests without a decision. queued marks those that
-	// a remote broker has confirmed as queued, and distrust holds the time before
-	// which a broker is not asked.
+	// a remote broker has confirmed as queued. backoffUntil holds the time before which
+	// a broker is not asked.
 	pending      map[uint64]chan admission.Decision
 	queued       map[uint64]bool
 	backoffUntil map[string]time.Time
@@ -139,7 +139,7 @@
 }
 
 // Acquire requests a permit and waits for the decision, which may be a refusal. It
-// sets the ID of the request. The only error is that of the context.
+// assigns the ID of the request. The only error is that of the context.
 func (d *Desk) Acquire(ctx context.Context, r admission.Request) (Permit, error) {
 	for {
 		broker := d.config.View().Brokers[r.Service]
--- a/internal/process/permits/desk_test.go
+++ b/internal/process/permits/desk_test.go
@@ -54,7 +54,7 @@
 	panic("permits: unexpected call")
 }
 
-// newView returns a newView with one target of one slot, t0, for service s.
+// newView returns a view with one target of one slot, t0, for service s.
 func newView() *fleet.View {
 	config := &fleet.Config{Version: 1, Services: []fleet.Service{{Name: "s"}}}
 	config.Index()
--- a/internal/request/admission/choice.go
+++ b/internal/request/admission/choice.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxCandidates is the maximum number of free targets that are maxCandidates for a
+	// maxCandidates is the maximum number of free targets that are compared for a
 	// request. A VM's requests go to the same targets while these are free, so
 	// that it needs few connections. With three failure domains, some twenty of
-	// the targets are in each.
+	// the candidates are in each.
 	maxCandidates = 64
-	// capacityMaxAge is how long the capacity of a service with more targets than
-	// that is cached. It is half the interval at which the broker is ticked.
+	// capacityMaxAge is how long the capacity of a service with more than
+	// maxCandidates targets is cached: half the interval at which Tick is called.
 	capacityMaxAge = 5 * time.Millisecond
 )
 
-// targetsFor returns all targets in ID order. If there are too many to compare, the
-// order starts at a position derived targetsFor the VM's name, so that each VM prefers
-// other targets.
+// targetsFor returns all targets in the order in which a VM uses them: by ID. If there
+// are more than maxCandidates, the order starts at a position derived from the VM's
+// name, so that different VMs prefer different targets.
 func (p *pool) targetsFor(vm string) iter.Seq[*target] {
 	return func(yield func(*target) bool) {
 		start := 0
@@ -36,8 +36,8 @@
 	}
 }
 
-// candidates returns the targets that have a free slot, or all targets in the
-// VM's order if more have one than are compared.
+// candidates returns the targets that have a free slot, or all targets in the VM's
+// order if more than maxCandidates have one.
 func (p *pool) candidates(vm string) iter.Seq[*target] {
 	if len(p.free) <= maxCandidates {
 		return slices.Values(p.free)
@@ -65,8 +65,8 @@
 	return seconds(work*t.relativeTime(now)*slowdown) + transitTime
 }
 
-// restrictToDomain restricts a large request to its own failure domain for a part of the
-// time that it can spare before its aim, if a target there may become free.
+// restrictToDomain restricts a large request to its own failure domain for a part of
+// the time that it can spare before its aim, if a target there may become free.
 func (p *pool) restrictToDomain(r *Request, now time.Time) {
 	if !r.Large || p.service.Keyed {
 		return
@@ -154,8 +154,8 @@
 	return t.FailureDomain == r.Domain || !now.Before(r.localUntil)
 }
 
-// localityMargin returns the additional margin by which a target must be quicker to
-// justify a new connection or the way to another failure domain. It shrinks as
+// localityMargin returns by how much quicker a target must be, in addition to the fixed
+// penalties, to justify a new connection or the way to another failure domain. It shrinks as
 // the slots fill up: a service with free slots can afford slower targets to save
 // connections and cross-domain traffic, a busy one needs the quickest.
 func (p *pool) localityMargin(r *Request) time.Duration {
@@ -242,8 +242,9 @@
 	return sum
 }
 
-// estimateWait returns how long a request would wait in a queue, and whether it can
-// be answered in time after that wait.
+// estimateWait returns how long a request would wait in a queue, and whether it should
+// be queued: it should if it meets its aim after the wait, or if it meets its deadline
+// and the demand is below the overload.
 func (p *pool) estimateWait(q *queue, r *Request, now time.Time) (time.Duration, bool) {
 	slots, holdTime := p.capacity(r, now)
 	if slots == 0 {
--- a/internal/request/admission/load_test.go
+++ b/internal/request/admission/load_test.go
@@ -13,10 +13,10 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// browse is the load that most tests play; with sets its rate.
+// browse is the load that most tests play; withRate sets its rate.
 var browse = load{service: "s", class: "browse", work: 60 * time.Millisecond, aim: 200 * time.Millisecond, deadline: 500 * time.Millisecond, domain: "a"}
 
-// withRate returns a load at a rate in requests per second.
+// withRate returns a load with the given rate in requests per second.
 func withRate(l load, perSecond float64) load {
 	l.perSecond = perSecond
 	return l
--- a/internal/request/admission/play_test.go
+++ b/internal/request/admission/play_test.go
@@ -13,8 +13,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// simulation simulates a load on a broker in virtual time. Targets run every request that
-// is permitted: it takes its work times the target's slowness.
+// simulation runs loads on a broker in virtual time. Targets run every request that is
+// permitted: it takes its work times the target's slowness.
 type simulation struct {
 	broker *admission.Broker
 	view   *fleet.View
@@ -85,7 +85,7 @@
 // schedule schedules an action.
 func (p *simulation) schedule(t time.Time, do func()) { heap.Push(&p.events, event{t, do}) }
 
-// runUntil runs the simulation with ticks up to a time after the start, and then runUntil
+// runUntil runs the simulation with ticks up to a time after the start, and then until
 // no actions are left.
 func (p *simulation) runUntil(after time.Duration) {
 	end := p.start.Add(after)
@@ -104,7 +104,7 @@
 	}
 }
 
-// load describes requests that arrive as a Poisson process at perS per second.
+// load describes requests that arrive as a Poisson process at perSecond requests per second.
 type load struct {
 	service   string
 	class     string
@@ -203,7 +203,7 @@
 func anyRequest(*simulatedRequest) bool { return true }
 
 // maxStartsWithin returns the largest number of requests that a target started in any
-// window before the given time.
+// window before a time.
 func (p *simulation) maxStartsWithin(target string, window time.Duration, until time.Time) int {
 	var starts []time.Time
 	for _, r := range p.done {
--- a/internal/request/admission/pool.go
+++ b/internal/request/admission/pool.go
@@ -17,21 +17,22 @@
 	// transitTime is the time that a request spends on the way between the VM that
 	// sends it, the broker and the target.
 	transitTime = 6 * time.Millisecond
-	// initialWorkShare is the assumed work of a class as a share of its aim, until it
-	// has been measured.
+	// initialWorkShare is the assumed work of a class as a share of the time until
+	// the aim, until the work has been measured.
 	initialWorkShare = 0.3
-	// overloadUtilisation is the utilisation above which a request that will miss its aim
-	// is refused on arrival instead of queued.
+	// overloadUtilisation is the utilisation from which a request that will miss its
+	// aim is refused on arrival instead of queued.
 	overloadUtilisation = 0.95
-	// crossDomainPenalty is the minimum time by which a target in another failure domain
-	// must be quicker to be preferred.
+	// crossDomainPenalty is the minimum time by which a target in another failure
+	// domain must be quicker to be preferred.
 	crossDomainPenalty = 4 * time.Millisecond
-	// newConnectionPenalty is the minimum time by which a target without an open connection
-	// must be quicker to be preferred: opening a connection takes a round trip and
-	// occupies a slot for that time, and targets accept a limited number.
+	// newConnectionPenalty is the minimum time by which a target without an open
+	// connection must be quicker to be preferred: opening a connection takes a round
+	// trip and occupies a slot for that time, and targets accept a limited number of
+	// connections.
 	newConnectionPenalty = 4 * time.Millisecond
-	// localityMarginShare is how much slower a target in the same failure domain, or one
-	// with an open connection, may be while all slots are free, as a share of the
+	// localityMarginShare is how much slower a target in the same failure domain, or
+	// one with an open connection, may be while all slots are free, as a share of the
 	// mean work.
 	localityMarginShare = 0.4
 	// localWaitShare is the share of the spare time before its aim for which a large
@@ -40,8 +41,8 @@
 	// failurePenalty is how many times its expected time a target that always
 	// fails is charged in addition.
 	failurePenalty = 5
-	// occupancySlowdown is the relative increase of the service time at a target whose
-	// slots are all in use.
+	// occupancySlowdown is the relative increase of the service time at a target
+	// whose slots are all in use.
 	occupancySlowdown = 0.2
 )
 
@@ -51,22 +52,22 @@
 	name    string
 	service *fleet.Service
 	targets map[string]*target
-	// sortedTargets holds the targets sorted by ID. capacities caches their capacity by
-	// class.
+	// sortedTargets holds the targets sorted by ID. capacities caches their capacity
+	// by class.
 	sortedTargets []*target
 	capacities    map[string]capacity
 	// slots and running are the sums over the usable targets. free holds those of
 	// them that have a free slot, in no particular order.
 	slots, running int
 	free           []*target
-	// sharedQueue is the queue of a service without keys. owners holds the queues of a
-	// keyed service by the ID of the owner; the empty ID is for keys without one.
+	// sharedQueue is the queue of a service without keys. ownerQueues holds the queues
+	// of a keyed service by the ID of the owner; the empty ID is for keys without one.
 	sharedQueue *queue
 	ownerQueues map[string]*queue
 	slices      []fleet.Slice
 	// waiting maps a waiting request to its queue.
 	waiting map[ID]*queue
-	// meanWork is the mean meanWork of each class in seconds: the service time at a target
+	// meanWork is the mean work of each class in seconds: the service time at a target
 	// of average speed.
 	meanWork map[string]float64
 	repeats  *repeats
@@ -223,7 +224,7 @@
 	p.dispatch(q, now)
 }
 
-// grant grants a request a slot at a target.
+// grant permits a request to run at a target and occupies a slot there.
 func (p *pool) grant(r *Request, t *target, now time.Time) {
 	p.addRunning(t, 1)
 	t.lastSent[r.ID.VM] = now
@@ -237,7 +238,7 @@
 	p.broker.config.Decide(Decision{ID: r.ID, Target: t.Life})
 }
 
-// addRunning changes the number of requests in flight at a target.
+// addRunning adds change to the number of requests in flight at a target.
 func (p *pool) addRunning(t *target, change int) {
 	t.running += change
 	if t.usable {
@@ -318,8 +319,8 @@
 	p.dispatch(p.sharedQueue, now)
 }
 
-// recordResult updates the measurements of the target and of the class from the result
-// of a request.
+// recordResult updates the measurements of the target and of the class from the
+// result of a request.
 func (p *pool) recordResult(granted *permit, end End, now time.Time) {
 	t := granted.target
 	class := granted.request.Class
--- a/internal/request/admission/queue.go
+++ b/internal/request/admission/queue.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// demandHalfLife is the half-life of the measured arrival rate in seconds.
+	// demandHalfLife is the half-life of the measured demand in seconds.
 	demandHalfLife = 1.0
 )
 
@@ -36,7 +36,7 @@
 	q.demandAt = now
 }
 
-// servedBefore reports whether a is to be served servedBefore b.
+// servedBefore reports whether a is to be served before b.
 func servedBefore(a, b *Request) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
@@ -69,8 +69,8 @@
 
 // next returns the request to run now: the first that meets its aim, otherwise
 // the one with the earliest deadline among those that meet their deadline; nil if
-// there is none. allowed reports whether a request can run now; takes returns its
-// expected time and is called only for allowed requests.
+// there is none. canRun reports whether a request can run now; expectedTime is called
+// only for requests that can.
 func (q *queue) next(now time.Time, expectedTime func(*Request) time.Duration, canRun func(*Request) bool) *Request {
 	var fallback *Request
 	for _, r := range q.waiters {
--- a/internal/request/admission/repeats.go
+++ b/internal/request/admission/repeats.go
@@ -7,18 +7,19 @@
 const budgetShare = 0.7
 
 // repeats enforces the retry budget of a service. It counts first attempts and
-// repeats over a sliding window that is divided into equal parts.
+// repeats over a sliding window that is divided into equal buckets.
 type repeats struct {
 	budget Budget
-	// origin is the time from which the parts are numbered. It carries a monotonic
+	// origin is the time from which the buckets are numbered. It carries a monotonic
 	// clock reading: a jump of the wall clock would otherwise empty the window.
 	origin  time.Time
 	buckets [windowBuckets]bucket
-	// current is the number of the latest part; part n is current index n modulo windowParts.
+	// current is the number of the latest bucket; bucket n is at index n modulo
+	// windowBuckets.
 	current int64
 }
 
-// windowBuckets is the number of parts that the window is divided into.
+// windowBuckets is the number of buckets that the window is divided into.
 const windowBuckets = 10
 
 type bucket struct{ first, repeated int }
@@ -30,12 +31,12 @@
 	return &repeats{budget: budget}
 }
 
-// bucketNumber returns the bucketNumber of the part that contains a time.
+// bucketNumber returns the number of the bucket that contains a time.
 func (c *repeats) bucketNumber(at time.Time) int64 {
 	return int64(at.Sub(c.origin) / (c.budget.Window / windowBuckets))
 }
 
-// advance clears the parts that have left the window and returns the current one.
+// advance clears the buckets that have left the window and returns the current one.
 func (c *repeats) advance(now time.Time) *bucket {
 	if c.origin.IsZero() {
 		c.origin = now.Add(-c.budget.Window)
--- a/internal/request/admission/target.go
+++ b/internal/request/admission/target.go
@@ -31,7 +31,7 @@
 	paceMaxAge = 200 * time.Millisecond
 	// connectBackoff is how long no requests are sent to a target that did not
 	// accept a connection. It doubles with each further failure up to
-	// unreachableMax.
+	// maxConnectBackoff.
 	connectBackoff    = 200 * time.Millisecond
 	maxConnectBackoff = 2 * time.Second
 	// connectionIdleTime is how long a VM keeps an idle connection to a target.
@@ -54,8 +54,8 @@
 	usable bool
 	// running is the number of requests in flight.
 	running int
-	// freeIndex is the target's index in the pool's list of targets with a freeIndex slot,
-	// or none.
+	// freeIndex is the target's index in the pool's list of targets with a free slot,
+	// or notFree.
 	freeIndex int
 	// slowness is the measured service time relative to the mean of the service.
 	slowness float64
@@ -68,10 +68,11 @@
 	// reported by the target at paceAt; 1 is usual.
 	pace   float64
 	paceAt time.Time
-	// connectionRefused is set after a connectionRefused connection, until the target answers again.
+	// connectionRefused is set after the target has refused a connection, until it
+	// answers again.
 	connectionRefused bool
-	// backoffUntil is the time before which no requests are sent, after pauses
-	// consecutive failed connections.
+	// backoffUntil is the time before which no requests are sent, after
+	// connectFailures consecutive failed connections.
 	backoffUntil    time.Time
 	connectFailures int
 	// coldStarts holds when requests were recently permitted while the target is cold.
@@ -116,9 +117,9 @@
 	return len(t.coldStarts) < limit
 }
 
-// recordServiceTime updates the slowness with a measured service time; work is the mean work
-// of the request's class in seconds. A recently reported pace accounts for a part
-// of the time: the sample is divided by its square root.
+// recordServiceTime updates the slowness with a measured service time; work is the
+// mean work of the request's class in seconds. A recently reported pace accounts for a
+// part of the time: the sample is divided by its square root.
 func (t *target) recordServiceTime(took time.Duration, work float64, now time.Time) {
 	t.recover(now)
 	ratio := took.Seconds() / work
@@ -152,14 +153,14 @@
 	t.failures *= keep
 }
 
-// backOff stops requests to the target for a while, after a connection that was not
+// backOff stops requests to the target for a while after a connection that was not
 // accepted.
 func (t *target) backOff(now time.Time) {
 	t.connectFailures = min(t.connectFailures+1, 6)
 	t.backoffUntil = now.Add(min(connectBackoff<<(t.connectFailures-1), maxConnectBackoff))
 }
 
-// resetBackoff ends a pause after an answer.
+// resetBackoff ends the backoff after an answer.
 func (t *target) resetBackoff() {
 	t.connectFailures, t.connectionRefused, t.backoffUntil = 0, false, time.Time{}
 }
