--- a/internal/process/permits/desk.go
+++ b/internal/process/permits/desk.go
@@ -96,14 +96,14 @@
 		queued: map[uint64]bool{}, backoffUntil: map[string]time.Time{}, applied: map[*admission.Broker]*fleet.View{},
 	}
 	d.number.Store(rand.Uint64N(initialNumberRange))
-	serving := config.Broker
-	serving.Decide = d.deliver
-	serving.Serve = func(service string) bool { return config.View().Brokers[service] == config.Self }
-	d.broker = admission.New(serving)
-	fallback := config.Broker
-	fallback.Decide = d.deliver
-	fallback.Cautious = true
-	d.fallback = admission.New(fallback)
+	brokerConfig := config.Broker
+	brokerConfig.Decide = d.deliver
+	brokerConfig.Serve = func(service string) bool { return config.View().Brokers[service] == config.Self }
+	d.broker = admission.New(brokerConfig)
+	fallbackConfig := config.Broker
+	fallbackConfig.Decide = d.deliver
+	fallbackConfig.Cautious = true
+	d.fallback = admission.New(fallbackConfig)
 	return d
 }
 
@@ -215,13 +215,13 @@
 
 // acquireLocal gets a decision from a broker of this VM; name becomes the broker of
 // the permit.
-func (d *Desk) acquireLocal(ctx context.Context, r admission.Request, b *admission.Broker, name string) (Permit, error) {
+func (d *Desk) acquireLocal(ctx context.Context, r admission.Request, b *admission.Broker, brokerName string) (Permit, error) {
 	answer := d.register(&r)
 	defer d.unregister(r.ID.Number)
 	d.submit(b, r)
 	select {
 	case decision := <-answer:
-		return Permit{Decision: decision, Broker: name}, nil
+		return Permit{Decision: decision, Broker: brokerName}, nil
 	case <-ctx.Done():
 		d.endLocal(b, admission.End{ID: r.ID, Result: admission.Canceled})
 		return Permit{}, ctx.Err()
--- a/internal/process/permits/desk_test.go
+++ b/internal/process/permits/desk_test.go
@@ -76,9 +76,9 @@
 }
 
 // start starts the desk of a VM. It replaces the previous desk of the VM, if any.
-func (n *network) start(vm string, shared *fleet.View) {
+func (n *network) start(vm string, view *fleet.View) {
 	desk := permits.New(permits.Config{
-		Self: vm, Sender: sender{n, vm}, View: func() *fleet.View { return shared },
+		Self: vm, Sender: sender{n, vm}, View: func() *fleet.View { return view },
 		Broker: admission.Config{Budget: admission.Budget{Ratio: 0.2, Allowance: 10}, ColdFactor: 1.5},
 		Hears: func(string) bool {
 			n.mu.Lock()
@@ -86,7 +86,7 @@
 			return !n.cut["broker"] && !n.brokerSilent
 		},
 	})
-	desk.Update(shared)
+	desk.Update(view)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.desks[vm] = desk
