--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -139,7 +139,7 @@
 	broker := g.settings.Broker
 	broker.NotOwner = g.notOwner
 	g.desk = permits.New(permits.Config{
-		Self: g.self.VM, Broker: broker, Sender: g.transport, View: g.view.Load, Hears: g.hears,
+		Self: g.self.VM, Broker: broker, Sender: g.transport, View: g.view.Load, Alive: g.hears,
 	})
 	g.coordinator = coordinator.New(coordinator.Config{
 		Self:       g.self,
--- a/internal/process/permits/desk.go
+++ b/internal/process/permits/desk.go
@@ -49,8 +49,8 @@
 	Sender peer.ControlSender
 	// View returns the current view.
 	View func() *fleet.View
-	// Hears reports whether messages from a VM have arrived recently.
-	Hears func(vm string) bool
+	// Alive reports whether messages from a VM have arrived recently.
+	Alive func(vm string) bool
 }
 
 // Desk obtains and grants permits on one VM: it is the broker of the services that
@@ -161,7 +161,7 @@
 // targets, and a change of the owner of a key reaches this VM up to a second after
 // the broker. Repeats do not wait: they are refused while the broker is slow.
 func (d *Desk) needsBroker(broker string, r *admission.Request) bool {
-	return !r.Repeat && d.config.Hears(broker) && !hasWarmTarget(d.config.View(), r, time.Now())
+	return !r.Repeat && d.config.Alive(broker) && !hasWarmTarget(d.config.View(), r, time.Now())
 }
 
 // hasWarmTarget reports whether a view has a usable target for a request that is
@@ -245,7 +245,7 @@
 			d.endRemote(broker, admission.End{ID: r.ID, Result: admission.Canceled})
 			return Permit{}, true, ctx.Err()
 		case <-timer.C:
-			if d.isQueued(r.ID.Number) && d.config.Hears(broker) || d.needsBroker(broker, &r) && time.Since(sentAt) < resendAfter {
+			if d.isQueued(r.ID.Number) && d.config.Alive(broker) || d.needsBroker(broker, &r) && time.Since(sentAt) < resendAfter {
 				timer.Reset(aliveCheckInterval)
 				continue
 			}
--- a/internal/process/permits/desk_test.go
+++ b/internal/process/permits/desk_test.go
@@ -80,7 +80,7 @@
 	desk := permits.New(permits.Config{
 		Self: vm, Sender: sender{n, vm}, View: func() *fleet.View { return view },
 		Broker: admission.Config{Budget: admission.Budget{Ratio: 0.2, Allowance: 10}, ColdFactor: 1.5},
-		Hears: func(string) bool {
+		Alive: func(string) bool {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			return !n.cut["broker"] && !n.brokerSilent
