--- a/internal/process/permits/desk.go
+++ b/internal/process/permits/desk.go
@@ -258,6 +258,7 @@
 	}
 }
 
+// isQueued reports whether a remote broker has confirmed a request as queued.
 func (d *Desk) isQueued(number uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -353,7 +354,8 @@
 	return load
 }
 
-// Repeats returns the retry budget use of the services whose broker is this VM.
+// Repeats returns the retry budget use that the broker of this VM has counted, by
+// service.
 func (d *Desk) Repeats(now time.Time) map[string]admission.RepeatCount {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/request/admission/choice.go
+++ b/internal/request/admission/choice.go
@@ -154,10 +154,10 @@
 	return t.FailureDomain == r.Domain || !now.Before(r.localUntil)
 }
 
-// localityMargin returns by how much quicker a target must be, in addition to the fixed
-// penalties, to justify a new connection or the way to another failure domain. It shrinks as
-// the slots fill up: a service with free slots can afford slower targets to save
-// connections and cross-domain traffic, a busy one needs the quickest.
+// localityMargin returns by how much quicker a target must be, in addition to the
+// fixed penalties, to justify a new connection or the way to another failure domain.
+// It shrinks as the slots fill up: a service with free slots can afford slower
+// targets to save connections and cross-domain traffic, a busy one needs the quickest.
 func (p *pool) localityMargin(r *Request) time.Duration {
 	if p.running >= p.slots {
 		return 0
@@ -181,8 +181,8 @@
 
 // worthwhile reports whether a request should run at a target now rather than
 // wait for a quicker one. It should if it meets its aim there, or if it meets its
-// deadline there and none of the other targets would meet its aim, even with a
-// free slot.
+// deadline there and none of the other targets that it may wait for would meet its
+// aim.
 func (p *pool) worthwhile(r *Request, t *target, now time.Time) bool {
 	if !now.Add(p.expectedTime(r, t, now)).After(r.Aim) {
 		return true
@@ -220,7 +220,7 @@
 	return cached.slots, cached.holdTime
 }
 
-// capacity is the cached capacity of a service without keys for one class: the
+// capacity is the capacity of a service without keys for one class: the
 // slots of its usable targets and the mean time that a request holds one.
 type capacity struct {
 	at       time.Time
@@ -228,6 +228,7 @@
 	holdTime time.Duration
 }
 
+// sumCapacity computes the capacity for the class of a request.
 func (p *pool) sumCapacity(r *Request, now time.Time) capacity {
 	sum, rate := capacity{at: now}, 0.0
 	for _, t := range p.sortedTargets {
@@ -244,7 +245,7 @@
 
 // estimateWait returns how long a request would wait in a queue, and whether it should
 // be queued: it should if it meets its aim after the wait, or if it meets its deadline
-// and the demand is below the overload.
+// and the utilisation is below overloadUtilisation.
 func (p *pool) estimateWait(q *queue, r *Request, now time.Time) (time.Duration, bool) {
 	slots, holdTime := p.capacity(r, now)
 	if slots == 0 {
--- a/internal/request/admission/pool.go
+++ b/internal/request/admission/pool.go
@@ -300,8 +300,8 @@
 	return r, chosen[r.ID]
 }
 
-// finish releases the slot of a permit, records the result and starts the next
-// waiting request.
+// finish releases the slot of a permit, records the result and starts waiting
+// requests that can run now.
 func (p *pool) finish(granted *permit, end End, now time.Time) {
 	t := granted.target
 	p.addRunning(t, -1)
--- a/internal/request/admission/queue.go
+++ b/internal/request/admission/queue.go
@@ -28,6 +28,7 @@
 	q.demand += work * math.Ln2 / demandHalfLife
 }
 
+// decay brings the demand up to date.
 func (q *queue) decay(now time.Time) {
 	if q.demandAt.IsZero() {
 		q.demandAt = now
