--- a/internal/process/coordinator/fences.go
+++ b/internal/process/coordinator/fences.go
@@ -6,23 +6,26 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// fenceReserve is the number of fences that a leader may give out between two
-// writes of the record: several for each slice of a large fleet.
+// fenceReserve is the number of fences that a leader may assign between two writes
+// of the record: several for each slice of a large fleet.
 const fenceReserve = 1 << 14
 
-// fences are the fences that a leader may give out. The record has the last one, so
-// that the next leader begins above it.
+// fences is the range of fences that a leader may still assign. The record holds the
+// last one, so that the next leader starts above it.
 //
-// Guarantee: no fence reaches two processes. A leader gives each slice a fence of
-// its own when it takes over, and another when a grant of it failed; in between it
-// sends the fence only over the connection on which the owner's process took it.
-// This needs no write, since the owner stays the same: it either is the process that
-// has the keys, or its successor under its name, which takes them at a higher fence.
-// A former leader may not know that the keys have moved on, and the successor does not
-// either. So such a fence is sent only once its leader has been confirmed since.
+// Guarantee: no fence is accepted by two processes. A leader assigns each slice a new
+// fence when it takes over, and another one when a grant fails in a way that calls for
+// it. In between it sends the fence only over the connection on which the owner's
+// process accepted it.
+//
+// A new fence for the same owner is not written to the record first: the grant reaches
+// either the process that has the keys, or the next process of the same target, which
+// accepts them at a higher fence. A leader that has been replaced, however, may not know
+// that the keys have moved, and neither does that next process. So such a fence is sent
+// only after the leader has been confirmed again.
 type fences struct{ next, last uint64 }
 
-// fencesAfter are the fences of a leader that takes over a record.
+// fencesAfter returns the fences of a leader that takes over the given record.
 func fencesAfter(former *fleet.Record) fences {
 	slices := 0
 	for _, list := range former.Slices {
@@ -31,19 +34,20 @@
 	return fences{next: former.LastFence + 1, last: former.LastFence + uint64(slices) + fenceReserve}
 }
 
-// reserved is the last fence that the next write of the record reserves.
+// reserved returns the last fence that the next write of the record reserves.
 func (f *fences) reserved() uint64 { return max(f.last, f.next+fenceReserve) }
 
-// plan gives out a fence for a move, which begins once a record is written that
-// reserves it.
+// plan assigns a fence to a move. The move begins only after a record that reserves
+// the fence has been written.
 func (f *fences) plan() uint64 {
 	f.next++
 	return f.next - 1
 }
 
-// refence gives a slice another fence, with what is known of the slice. It is sent once
-// the leader has been confirmed since an uptime; 0 if it has been. It reports false if no
-// fence is left until the record is written.
+// refence assigns a new fence to a slice and keeps what is known of the slice. The fence
+// is not sent before this VM has been confirmed as the leader at or after the given
+// uptime; 0 means that no confirmation is needed. It reports false if no fence is left
+// until the next write of the record.
 func (k *keeper) refence(s *fleet.Slice, confirmedSince time.Duration) bool {
 	if k.fences.next > k.fences.last {
 		return false
@@ -61,17 +65,18 @@
 	return true
 }
 
-// isOutdone reports whether a process that refuses a grant shows another leader: the fence
-// is the slice's present one, so that this leader has given out no higher one for its keys.
+// isOutdone reports whether a refusal of a grant for its low fence proves that there is
+// another leader. It does if the grant had the slice's current fence, since this leader
+// has assigned no higher one to these keys.
 func (k *keeper) isOutdone(t task) bool {
 	s := k.find(t.order)
 	return s != nil && s.Last == t.slice.Last && s.Owner == t.target && len(s.From) == 0
 }
 
-// conflicted gives a slice another fence after a grant for which a higher one is
-// needed, and returns it; 0 if there is none. It is granted without a pause if a renewal
-// found its connection gone; a fence that was refused may be that of a leader which
-// has been replaced.
+// conflicted assigns a new fence to a slice after a grant that needs a higher one, and
+// returns it; 0 if none was assigned. The next grant is sent without a pause if a renewal
+// found its connection lost. It waits if the target refused the fence, because this
+// leader may have been replaced.
 func (k *keeper) conflicted(t task, refused bool, now time.Time, uptime time.Duration) uint64 {
 	s := k.find(t.order)
 	if s == nil || !k.refence(s, uptime) {
@@ -84,6 +89,7 @@
 	return s.Fence
 }
 
+// move changes the key of an entry, if there is one.
 func move(times map[sliceID]time.Time, from, to sliceID) {
 	if at, known := times[from]; known {
 		times[to] = at
--- a/internal/process/coordinator/keeper.go
+++ b/internal/process/coordinator/keeper.go
@@ -9,83 +9,93 @@
 )
 
 const (
-	// usualHold is how long a grant lasts: keys of a target that falls silent are
-	// served again after it.
+	// usualHold is how long a grant lasts. The keys of a target that stops answering
+	// are served by another target after this time.
 	usualHold = 3 * time.Second
-	// renewEvery is the interval of renewals, a quarter of usualHold.
+	// renewEvery is the interval between renewals of a grant: a quarter of the time
+	// that the grant lasts.
 	renewEvery = 750 * time.Millisecond
-	// renewalsAtOnce is the number of renewals that a target gets at the same time,
-	// so that they share two connections; one that is later than renewSlack does
-	// not wait for the others.
+	// renewalsAtOnce is the number of orders in flight to a target from which on its
+	// renewals wait, so that they share two connections. A renewal that is overdue by
+	// renewSlack does not wait.
 	renewalsAtOnce = 2
 	renewSlack     = renewEvery
-	// clockSlack is how much slower a target's clock may run.
+	// clockSlack is the share by which a target's clock may run slower than the
+	// leader's.
 	clockSlack = 0.03
-	// holdMargin covers the way of a grant and the timers of both sides.
+	// holdMargin covers the network delay of a grant and late timers on both sides.
 	holdMargin = 250 * time.Millisecond
-	// retryOrder is the pause before an order is repeated that failed.
+	// retryOrder is the pause before a failed order is repeated.
 	retryOrder = 200 * time.Millisecond
 )
 
-// keeper holds who may hold which keys, and says what to order next. It does
-// no input or output.
+// keeper tracks which targets may hold which keys and decides which orders to
+// send next: releases to former owners, and grants to owners. An owner holds its
+// keys under a lease that each grant starts or extends. The type does no input or
+// output.
 //
-// Invariant: a slice is granted only while nobody else can hold its keys. That
-// is so once every former owner has answered a release at the slice's fence,
-// has ended, or cannot have a grant in force any more. Former owners are
-// written to the store before the first of them is asked. A fence reaches one
-// process only (fences.go).
+// A fleet.Life identifies one incarnation of a target, that is one run of its
+// process. The next incarnation has the same ID and often the same address.
+//
+// Invariant: a slice is granted only while no other target can hold its keys.
+// That is so once each former owner has answered a release at the slice's fence,
+// has ended, or can no longer have a grant in force. Former owners are written to
+// the store before the first release is sent. A fence is accepted by one process
+// only (see fences).
 type keeper struct {
 	slices map[string][]fleet.Slice
-	// mayHoldUntil is when the last grant that a target may have got runs out.
+	// mayHoldUntil is when the last grant that a target may have received expires.
 	mayHoldUntil map[fleet.Life]time.Time
-	// alone is set once no former leader can give out grants any more; those that
-	// it gave run out by heldBefore.
+	// alone is set once no former leader can send grants any more. Those that it
+	// sent expire by heldBefore.
 	alone      bool
 	heldBefore time.Time
-	// formerIsGone is set if the former leader's process is known to be gone, so
-	// that it gives nothing to anybody.
+	// formerIsGone is set if the former leader's process is known to have ended, so
+	// that it sends nothing more.
 	formerIsGone bool
-	// handovers are the words of former owners on their keys, by the slice's fence.
+	// handovers are the texts that former owners returned with their releases, by
+	// the slice's fence. Each is passed to the new owner with its grant.
 	handovers map[uint64]string
 	// hold is how long a grant lasts.
 	hold time.Duration
-	// gone are lives that are over; they get no more orders, which another life
-	// at the same address would take.
+	// gone are incarnations that have ended. They get no more orders, because another
+	// incarnation at the same address would accept them.
 	gone map[fleet.Life]bool
-	// successors are the next lives of targets that have started again under
-	// their names: grants to a life that is over may have reached the next one.
+	// successors maps an incarnation that has ended to the next one of the same
+	// target. Grants that were sent to the former may have reached the latter.
 	successors map[fleet.Life]fleet.Life
-	// underWay counts the orders to a life that have not ended; late is set if
-	// one ended other than refused after the life was over, so that the next life
-	// at the address may have taken it.
+	// underWay counts the orders in flight to an incarnation. late is set if the next
+	// incarnation at its address may have accepted a grant: one that had not been
+	// refused completed after the incarnation had ended.
 	underWay map[fleet.Life]int
 	late     map[fleet.Life]bool
-	// grantedAt is when a grant of a new fence last ended other than refused.
+	// grantedAt is when a grant at a new fence that was not refused last completed.
 	grantedAt map[fleet.Life]time.Time
-	// granting counts the grants among them, by the life that they are for.
+	// granting counts the grants in flight to an incarnation.
 	granting map[fleet.Life]int
-	// opening are the grants under way, by the target's name, that may reach the next life
-	// under it: those that do not go over the connection of a process that is known.
+	// opening are the grants in flight, by target ID, that may reach the target's next
+	// incarnation, because they are the first at their fence. Later ones go only over
+	// the connection to the process that accepted the first.
 	opening map[string]map[order]fleet.Slice
-	// ordering are the slices with an order under way, by fence and target.
+	// ordering are the orders in flight.
 	ordering map[order]bool
-	// retryAt is when an order that failed may be repeated.
+	// retryAt is when a failed order may be repeated.
 	retryAt map[order]time.Time
 	// confirmedAt is when a slice's owner last confirmed its grant, readySince when
 	// it first did.
 	confirmedAt map[sliceID]time.Time
 	readySince  map[sliceID]time.Time
-	// fences are those that this leader may give out; sent are those that it has sent
-	// in a grant.
+	// fences are those that this leader may still assign. sent are those that it has
+	// sent in a grant.
 	fences fences
 	sent   map[uint64]bool
-	// awaits are the uptimes since which the leader has to be confirmed before a fence
-	// is first sent.
+	// awaits holds, by fence, the uptime at or after which this VM must have been
+	// confirmed as the leader before the fence is first sent.
 	awaits map[uint64]time.Duration
 }
 
-// sliceID identifies a slice. Parts of a slice that was cut share its fence.
+// sliceID identifies a slice. The fence alone does not: when a slice is split, both
+// parts keep it.
 type sliceID struct {
 	fence uint64
 	first uint16
@@ -93,7 +103,7 @@
 
 func idOf(s *fleet.Slice) sliceID { return sliceID{s.Fence, s.First} }
 
-// order is a release or grant of a slice, identified by its fence and range.
+// order identifies a release or grant of a slice that is sent to a target.
 type order struct {
 	service string
 	fence   uint64
@@ -102,17 +112,20 @@
 	release bool
 }
 
-// task is an order to carry out.
+// task is an order with what is needed to send it.
 type task struct {
 	order
 	slice fleet.Slice
-	// handover goes with a grant.
+	// handover is the former owner's text, which a grant passes on.
 	handover string
-	// again is set if the fence has been sent in a grant before.
+	// again is set if the fence has been sent in a grant before. Such a grant renews
+	// the lease or retries the grant, over the connection of the process that
+	// accepted the fence.
 	again bool
 }
 
-// newKeeper takes over the slices of a record, each at a fence of its own.
+// newKeeper takes over the slices of a record and gives each of them a new fence
+// from given.
 func newKeeper(slices map[string][]fleet.Slice, given fences, hold time.Duration) *keeper {
 	k := &keeper{
 		hold: hold, fences: given,
@@ -134,7 +147,7 @@
 	return k
 }
 
-// forgetFormer drops what was kept of slices that are no more.
+// forgetFormer removes the state of slices and fences that are no longer in use.
 func (k *keeper) forgetFormer() {
 	present := map[sliceID]bool{}
 	fences := map[uint64]bool{}
@@ -152,8 +165,8 @@
 	maps.DeleteFunc(k.retryAt, func(o order, _ time.Time) bool { return !present[sliceID{o.fence, o.first}] })
 }
 
-// adopt counts slices as ready that another leader has called so, as if a renewal
-// were due now.
+// adopt marks slices as ready that the former leader published as ready, and makes
+// their renewals due now.
 func (k *keeper) adopt(known map[string][]fleet.Slice, now time.Time) {
 	for service, list := range k.slices {
 		for i := range list {
@@ -166,8 +179,8 @@
 	}
 }
 
-// expireReady takes back that slices are ready whose owners have not confirmed them
-// for as long as a grant lasts. It reports whether there were any.
+// expireReady marks slices as not ready whose owners have not confirmed a grant for
+// as long as a grant lasts. It reports whether there were any.
 func (k *keeper) expireReady(now time.Time) bool {
 	expired := false
 	for _, list := range k.slices {
@@ -180,19 +193,21 @@
 	return expired
 }
 
-// formerEnded notes that no former leader gives out grants after a time.
+// formerEnded records that no former leader sends grants after the given time.
 func (k *keeper) formerEnded(after time.Time) {
 	k.alone = true
 	k.heldBefore = after.Add(longestHeld(k.hold))
 }
 
-// longestHeld is how long after its arrival a grant may be in force.
+// longestHeld returns how long a grant of the given duration may be in force after
+// its arrival, by this VM's clock.
 func longestHeld(hold time.Duration) time.Duration {
 	return time.Duration(float64(hold)*(1+clockSlack)) + holdMargin
 }
 
-// ended notes that a life of a target was over at a time. A new fence that was granted
-// later may have been taken by the next life; renewals reach the former one only.
+// ended records that an incarnation of a target had ended by the given time. A grant
+// at a new fence that completed later may have reached the next incarnation; renewals
+// reach only the former one.
 func (k *keeper) ended(life fleet.Life, at time.Time) {
 	k.gone[life] = true
 	k.late[life] = k.late[life] || k.grantedAt[life].After(at)
@@ -203,8 +218,9 @@
 	}
 }
 
-// startedAgain notes that a target runs in a newer life. Orders to the former
-// one may have reached the new one, so that has to release the keys.
+// startedAgain records that a target runs in a newer incarnation. Orders to the former
+// one may have reached it, so it replaces the former one among those that must release
+// keys.
 func (k *keeper) startedAgain(former, present fleet.Life, now time.Time) {
 	k.ended(former, now)
 	k.successors[former] = present
@@ -222,7 +238,7 @@
 	}
 }
 
-// without removes a former owner from a slice.
+// without removes a former owner from a slice and reports whether it was one.
 func without(s *fleet.Slice, life fleet.Life) bool {
 	at := slices.Index(s.From, life)
 	if at < 0 {
@@ -232,8 +248,8 @@
 	return true
 }
 
-// mayHold reports whether a target may have a grant in force. One whose life is
-// over has none, once no former leader can send grants to its address.
+// mayHold reports whether an incarnation of a target may have a grant in force. One
+// that has ended has none, once no former leader can send grants to its address.
 func (k *keeper) mayHold(life fleet.Life, now time.Time) bool {
 	if k.gone[life] && !k.late[life] && k.underWay[life] == 0 && k.alone && (k.formerIsGone || now.After(k.heldBefore)) {
 		return false
@@ -241,8 +257,8 @@
 	return !k.alone || now.Before(k.heldBefore) || now.Before(k.mayHoldUntil[life]) || k.isGranted(life)
 }
 
-// isGranted reports whether a grant is under way that a target may take, also one
-// for its former life.
+// isGranted reports whether a grant is in flight that an incarnation may accept,
+// including one that was sent to a former incarnation of the same target.
 func (k *keeper) isGranted(life fleet.Life) bool {
 	if k.granting[life] > 0 {
 		return true
@@ -255,14 +271,15 @@
 	return false
 }
 
-// extend notes that a target may have a grant in force until a time.
+// extend records that a target may have a grant in force until the given time.
 func (k *keeper) extend(life fleet.Life, until time.Time) {
 	if until.After(k.mayHoldUntil[life]) {
 		k.mayHoldUntil[life] = until
 	}
 }
 
-// expire drops former owners whose grants have run out.
+// expire removes former owners that can have no grant in force any more, and returns
+// the slices from which one was removed.
 func (k *keeper) expire(now time.Time) []fleet.Slice {
 	var freed []fleet.Slice
 	for service, list := range k.slices {
@@ -279,8 +296,8 @@
 	return freed
 }
 
-// due returns the orders to carry out now by a leader that was last confirmed at an
-// uptime.
+// due returns the orders to send now, and records them as in flight. confirmed is the
+// uptime at which this VM was last confirmed as the leader.
 func (k *keeper) due(now time.Time, confirmed time.Duration) []task {
 	var tasks []task
 	for service, list := range k.slices {
@@ -299,7 +316,8 @@
 	return tasks
 }
 
-// add adds a task unless it is under way or not due yet.
+// add appends a task, unless its order is in flight already, must not be sent yet, or
+// is for an incarnation that has ended.
 func (k *keeper) add(tasks []task, t task, now time.Time, confirmed time.Duration) []task {
 	if k.ordering[t.order] || k.gone[t.target] || now.Before(k.retryAt[t.order]) {
 		return tasks
@@ -332,8 +350,8 @@
 	return append(tasks, t)
 }
 
-// isOpening reports whether a grant of the keys of a release is under way that a later
-// life than the one that answers the release may take.
+// isOpening reports whether a first grant of a release's keys is in flight. It could
+// reach a later incarnation of the target than the one that answers the release.
 func (k *keeper) isOpening(release task) bool {
 	for o, s := range k.opening[release.target.ID] {
 		if o.service == release.service && s.First <= release.slice.Last && release.slice.First <= s.Last {
@@ -352,7 +370,7 @@
 	return k.underWay[t.target] >= renewalsAtOnce && now.Before(at.Add(renewSlack))
 }
 
-// find returns the slice that an order is about, or nil if it has changed.
+// find returns the slice of an order, or nil if it has changed since.
 func (k *keeper) find(o order) *fleet.Slice {
 	list := k.slices[o.service]
 	for i := range list {
@@ -363,9 +381,9 @@
 	return nil
 }
 
-// granted notes the end of a grant that may have arrived; unless it was refused,
-// the target may hold the keys until the hold has run out. It reports whether the
-// slice became ready.
+// granted records a completed grant that may have reached the target, so that the
+// target may hold the keys for as long as a grant lasts. ok is set if the target
+// confirmed it. The result reports whether the slice became ready.
 func (k *keeper) granted(t task, ok bool, now time.Time) bool {
 	k.orderEnded(t)
 	k.late[t.target] = k.late[t.target] || k.gone[t.target]
@@ -396,12 +414,13 @@
 	return became
 }
 
-// failed notes an order that took no effect.
+// failed records an order that had no effect, and schedules its retry.
 func (k *keeper) failed(t task, now time.Time) {
 	k.orderEnded(t)
 	k.retryAt[t.order] = now.Add(retryOrder)
 }
 
+// orderEnded removes an order from those in flight.
 func (k *keeper) orderEnded(t task) {
 	delete(k.ordering, t.order)
 	k.underWay[t.target]--
@@ -411,8 +430,8 @@
 	}
 }
 
-// released notes the answer to a release and reports whether it was the last
-// that the slice waited for.
+// released records a confirmed release and the former owner's handover text. It
+// reports whether the slice has no former owners left.
 func (k *keeper) released(t task, handover string) bool {
 	k.orderEnded(t)
 	delete(k.retryAt, t.order)
--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// planEvery is the interval at which the owners of keys are reconsidered.
+	// planEvery is the interval between plans of key moves.
 	planEvery = 250 * time.Millisecond
-	// tidyEvery is the interval at which slices that have cooled down are joined.
+	// tidyEvery is the interval at which slices with little load are joined.
 	tidyEvery = time.Second
-	// grantTimeout bounds a grant; releaseTimeout bounds a release, which waits
-	// for the work on the keys.
+	// grantTimeout bounds a grant. releaseTimeout bounds a release, which waits for
+	// running requests on the keys.
 	grantTimeout   = 600 * time.Millisecond
 	releaseTimeout = 4 * time.Second
-	// coldCapacity is the capacity of a cold target relative to a warm one.
+	// coldCapacity is the capacity of a cold target as a share of a warm one's.
 	coldCapacity = 0.4
-	// minCapacity keeps a slow target from being left without any keys, so that
-	// its speed is still measured.
+	// minCapacity is the least capacity of a usable target, as a share of its slots. It
+	// leaves a slow target some keys, so that its speed is still measured.
 	minCapacity = 0.05
-	// refenceAfter is how long a slice must have been ready before a refusal of its
-	// owner counts: requests that were sent earlier are still on their way.
+	// refenceAfter is how long a slice must have been ready before its owner's refusal of
+	// a request counts. Requests that were sent before the slice was ready may arrive
+	// until then.
 	refenceAfter = 500 * time.Millisecond
-	// confirmedReports is the number of report intervals for which a confirmation lets a
-	// fence be sent that replaces one: reports, which confirm a leader without the store,
-	// are as old.
+	// confirmedReports is the maximum age, in report intervals, of a confirmation of the
+	// leader for a replacement fence to be sent. Without the store, the leader is
+	// confirmed by the reports of VMs, which are usually up to this old.
 	confirmedReports = 2
-	// settle is how long a new leader waits for the declarations before it takes
-	// keys from targets that are not declared.
+	// settle is how long a new leader waits for the declarations to arrive before it
+	// takes keys from targets that are not declared.
 	settle = 300 * time.Millisecond
 )
 
-// keepKeys plans moves and carries out orders.
+// keepKeys expires leases, plans moves and sends the orders that are due.
 func (c *Coordinator) keepKeys(now time.Time) {
 	l := c.lead
 	if c.view.Config == nil || !c.observer.Complete() {
@@ -71,8 +72,9 @@
 	}
 }
 
-// confirmedLately is confirmedAt, or 0 if that is older than reports usually are: an answer
-// of the store may be so late that another leader has moved keys away meanwhile.
+// confirmedLately returns the uptime at which this VM was last confirmed as the leader, or
+// 0 if that is too long ago. An answer of the store may arrive so late that another leader
+// has moved keys in the meantime.
 func (c *Coordinator) confirmedLately() time.Duration {
 	at := c.confirmedAt()
 	if c.config.Uptime()-at > confirmedReports*c.reportInterval() {
@@ -81,8 +83,8 @@
 	return at
 }
 
-// planMoves looks for the first service whose keys should move and writes the
-// moves, once the declarations have settled.
+// planMoves plans the moves of the first service whose keys should move and writes
+// them, once the declarations have had time to arrive.
 func (c *Coordinator) planMoves(now time.Time) {
 	l := c.lead
 	if now.Sub(l.since) <= settle {
@@ -109,7 +111,8 @@
 	}
 }
 
-// plan returns the moves of a service; one plan in a second joins slices.
+// plan returns the moves of a service. Once per tidyEvery it joins slices, if any can
+// be joined.
 func (l *leadership) plan(current []fleet.Slice, owners []keyspace.Owner, load *keyspace.Load, now time.Time) []keyspace.Move {
 	if !now.Before(l.tidyAt) {
 		l.tidyAt = now.Add(tidyEvery)
@@ -120,7 +123,7 @@
 	return keyspace.Plan(current, owners, load)
 }
 
-// owners returns the targets of a service with their capacities.
+// owners returns the targets of a service with their capacities, in slots.
 func (c *Coordinator) owners(service *fleet.Service, now time.Time) []keyspace.Owner {
 	var owners []keyspace.Owner
 	for _, t := range c.view.Targets {
@@ -133,6 +136,8 @@
 	return owners
 }
 
+// capacity returns the number of slots of a target, reduced if it is slow, failing or
+// cold; 0 if it must not own keys.
 func (c *Coordinator) capacity(t *fleet.Target, observed admission.Observation, now time.Time) float64 {
 	if !c.view.Usable(t) || c.lead.keeper.gone[t.Life] {
 		return 0
@@ -148,7 +153,7 @@
 	return max(capacity, minCapacity*float64(t.Slots))
 }
 
-// writeMoves writes moves into the record and begins them.
+// writeMoves writes moves to the record and starts them once they are written.
 func (c *Coordinator) writeMoves(service string, current []fleet.Slice, moves []keyspace.Move) {
 	l := c.lead
 	first := l.keeper.fences.next
@@ -163,8 +168,8 @@
 	})
 }
 
-// beginMoves begins moves that are in the record, at the fences that were planned
-// for them.
+// beginMoves starts moves that have been written to the record. planned are the fences
+// that were assigned to them.
 func (c *Coordinator) beginMoves(service string, moves []keyspace.Move, planned fences) {
 	l := c.lead
 	for _, m := range moves {
@@ -177,10 +182,11 @@
 	c.carryOutDue(time.Now())
 }
 
-// begin takes in the slices of a service that were written with moves at planned
-// fences. It keeps what has been learnt meanwhile of slices that do not move. If
-// others were given fences above the planned ones, so are the moves: a release has
-// to be above what the former owner has.
+// begin replaces the slices of a service with those that were written to the record.
+// Slices that move have one of the planned fences; for the others, what has changed
+// during the write is kept. If other slices were assigned fences above the planned ones
+// during the write, the moved slices get new fences as well: a release needs a higher
+// fence than the one that the former owner has.
 func (k *keeper) begin(service string, written []fleet.Slice, planned fences) {
 	live := k.slices[service]
 	k.slices[service] = append([]fleet.Slice(nil), written...)
@@ -202,7 +208,8 @@
 	k.forgetFormer()
 }
 
-// adoptProgress takes over what is known of a slice for itself or a part of it.
+// adoptProgress copies the current state of a slice to its written form, or to a part
+// of the slice.
 func (k *keeper) adoptProgress(s, known *fleet.Slice) {
 	s.Fence, s.From, s.Ready = known.Fence, known.From, known.Ready
 	if at, confirmed := k.confirmedAt[idOf(known)]; confirmed {
@@ -211,7 +218,7 @@
 	}
 }
 
-// slicesChanged publishes the owners of keys.
+// slicesChanged publishes the current owners of keys.
 func (c *Coordinator) slicesChanged() {
 	l := c.lead
 	view := *c.view
@@ -223,12 +230,12 @@
 	c.publish(&view)
 }
 
-// carryOut sends an order to a target.
+// carryOut sends an order to a target in the background.
 func (c *Coordinator) carryOut(t task) {
 	l := c.lead
 	known := c.view.Targets[t.target.ID]
 	if known == nil || known.Life != t.target || !c.mayAct() {
-		// Without an address the grants have to run out.
+		// Without the incarnation's address, its grants have to expire.
 		l.keeper.failed(t, time.Now())
 		return
 	}
@@ -244,6 +251,8 @@
 	}()
 }
 
+// send sends an order and waits for its result. For a release it returns the former
+// owner's handover text. It runs outside the loop.
 func (c *Coordinator) send(ctx context.Context, t task, to fleet.Target) (string, error) {
 	if t.release {
 		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
@@ -255,10 +264,10 @@
 	return "", c.config.Targets.Grant(ctx, to, t.slice, t.again, c.hold(), t.handover)
 }
 
-// hold is how long a grant lasts.
+// hold returns how long a grant lasts.
 func (c *Coordinator) hold() time.Duration { return min(usualHold, c.config.LongestHold) }
 
-// orderDone notes the result of an order.
+// orderDone handles the result of an order that was sent at began.
 func (c *Coordinator) orderDone(t task, handover string, err error, began time.Time) {
 	k := c.lead.keeper
 	now := time.Now()
@@ -268,7 +277,7 @@
 		k.failed(t, now)
 		c.confirmEnd(t.target)
 	case fault.Is(err, fault.Refused):
-		// Another process at the target's address shows that the target has ended.
+		// Another process listens at the target's address, so the target has ended.
 		k.failed(t, now)
 		changed = !k.gone[t.target]
 		k.ended(t.target, now)
@@ -293,9 +302,9 @@
 	}
 }
 
-// slicesChangedSoon publishes the owners of keys and goes on with the orders once
-// the results are dealt with that wait already: a plan has many moves, and each
-// view costs the broker a look at everything that waits.
+// slicesChangedSoon publishes the owners of keys and sends the orders that are due, after
+// the results that are already queued on the loop. Many moves complete together, and for
+// each view the broker examines all waiting requests.
 func (c *Coordinator) slicesChangedSoon() {
 	l := c.lead
 	if l.slicesPending {
@@ -312,8 +321,8 @@
 	})
 }
 
-// logOrder logs what an order changed; renewals without news are not logged. higher
-// is the slice's next fence, if it needs one.
+// logOrder logs the result of an order, except for renewals that changed nothing. higher
+// is the new fence that the slice was assigned, or 0.
 func (c *Coordinator) logOrder(t task, err error, took time.Duration, changed bool, higher uint64) {
 	if err == nil && !changed && !t.release {
 		return
@@ -331,9 +340,9 @@
 		Dur("took", took).Bool("changed", changed).AnErr("error", err).Send()
 }
 
-// NotOwner notes that a target refused a request for a key that it should own:
-// it may have started again unnoticed, or a late release has taken the key. The
-// slice is granted anew at a fence of its own.
+// NotOwner handles a target's refusal of a request for a key that it should own: its
+// process may have restarted unnoticed, or a delayed release has taken effect. The slice
+// is granted again at a new fence.
 func (c *Coordinator) NotOwner(service string, key uint16, life fleet.Life) {
 	l := c.lead
 	if l == nil {
--- a/internal/process/coordinator/witness.go
+++ b/internal/process/coordinator/witness.go
@@ -12,27 +12,29 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// A port that refuses connections belongs to a process that has ended, or lies
-// behind a partition that refuses connections instead of dropping packets. While a
-// failure domain is cut off, only a VM inside can tell the two apart.
+// If connections to a port are refused, its process has ended, or a network partition
+// refuses connections instead of dropping packets. While a failure domain is cut off,
+// only a VM inside it can tell the two apart.
 
 const (
-	// nearWitnesses and farWitnesses are the numbers of VMs that are asked in the
-	// failure domain of a port and in others.
+	// nearWitnesses and farWitnesses are the maximum numbers of VMs that are asked, in
+	// the failure domain of a port and in others.
 	nearWitnesses = 2
 	farWitnesses  = 1
-	// probeTimeout bounds the connection that a witness tries.
+	// probeTimeout bounds a witness's attempt to connect.
 	probeTimeout = 150 * time.Millisecond
 )
 
-// witnesses are the VMs that are asked about a port. near and far lie in its
-// failure domain and elsewhere; selfNear is set if this VM is near.
+// witnesses are the VMs that are asked to connect to a port. near are in the port's
+// failure domain and far in others. selfNear is set if this VM is in the port's failure
+// domain.
 type witnesses struct {
 	selfNear  bool
 	near, far []string
 }
 
-// witnessesOf chooses VMs to ask about a port in a failure domain.
+// witnessesOf chooses VMs to ask about a port in a failure domain, other than this VM
+// and without.
 func (c *Coordinator) witnessesOf(domain string, known *fleet.View, without string) witnesses {
 	w := witnesses{selfNear: domain == c.config.Self.FailureDomain}
 	for vm, m := range known.Members {
@@ -47,9 +49,9 @@
 	return w
 }
 
-// portClosed reports whether a port that refused this VM belongs to a process
-// that has ended: a VM near it was refused, another one besides this if there is
-// any, and nobody got through. It runs outside the loop.
+// portClosed reports whether the process has ended whose port refused a connection of
+// this VM. That requires a refusal by a VM in the port's failure domain, a second refusal
+// if there are other VMs to ask, and no successful connection. It runs outside the loop.
 func (c *Coordinator) portClosed(address string, w witnesses) bool {
 	type answer struct {
 		reply *peerv1.ProbeReply
@@ -75,7 +77,8 @@
 	return near && !open && (refused > 0 || cap(answers) == 0)
 }
 
-// probe asks another VM to connect to an address; nil if it gives no answer.
+// probe asks another VM to connect to an address. It returns nil if the VM does not
+// answer.
 func (c *Coordinator) probe(vm, address string) *peerv1.ProbeReply {
 	reply, err := c.call(vm, &peerv1.Control{Kind: &peerv1.Control_ProbeRequest{ProbeRequest: &peerv1.ProbeRequest{Address: address}}})
 	if err != nil {
@@ -84,7 +87,8 @@
 	return reply.GetProbeReply()
 }
 
-// answerProbe connects to an address for another VM. It runs outside the loop.
+// answerProbe connects to an address on behalf of another VM and sends it the result. It
+// runs outside the loop.
 func (c *Coordinator) answerProbe(from peer.Peer, call uint64, address string) {
 	ctx, cancel := context.WithTimeout(c.ctx, probeTimeout)
 	defer cancel()
@@ -94,9 +98,10 @@
 	}}})
 }
 
-// confirmEnd finds out whether a target whose port refuses connections has ended. One
-// that leaves closes its port before its last requests have ended: until then it counts
-// as working, and its keys wait, for no longer than its grants last.
+// confirmEnd checks whether a target whose port refuses connections has ended. A leaving
+// target closes its port before its last requests have completed. Until they have, it
+// counts as running and its keys are not granted to others, for at most as long as its
+// grants last.
 func (c *Coordinator) confirmEnd(life fleet.Life) {
 	l, target := c.lead, c.view.Targets[life.ID]
 	if target == nil || target.Life != life || l.confirming[life] {
