--- a/internal/process/coordinator/delivery.go
+++ b/internal/process/coordinator/delivery.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// lostAfter is the number of report intervals after which a change counts as lost
-	// that a VM does not report. With the way of a report, a lost change is sent again
-	// well within the 2 s after which a leaving target must get nothing any more.
+	// lostAfter is the number of report intervals after which a change that a VM has
+	// not reported counts as lost. Including the delay of a report, a lost change is
+	// sent again well within the 2 s after which a leaving target must get no more
+	// requests.
 	lostAfter = 2
-	// listLostAfter is the same time for a whole list or a first configuration, which take
-	// the link of a leader longer whose fleet starts at once.
+	// listLostAfter is the corresponding time for a full list or a first configuration.
+	// These occupy the leader's link for longer when the whole fleet starts at once.
 	listLostAfter = 2 * time.Second
 )
 
-// deliveries are those of the parts of the state to one VM.
+// deliveries tracks the delivery of each part of the leader's state to one VM.
 type deliveries struct{ config, targets, slices, members delivery }
 
-// delivery follows a part on its way to a VM: what is sent may be lost with its session,
-// and a difference does not fit a VM that has dropped what it had.
+// delivery tracks which version of a part a VM has. Messages may be lost together with
+// their session, and a difference cannot be applied by a VM that has dropped its base.
 type delivery struct {
-	// since is when a version was sent that the VM has not reported, or when it last
-	// reported another one than before; zero if nothing is under way.
+	// since is when the first of the versions in flight was sent, or when the VM last
+	// reported progress if that was later; zero if nothing is in flight.
 	since time.Time
-	// whole is set if more than a change is under way.
+	// whole is set if a full list or a first configuration is in flight.
 	whole bool
 	// reported is the version in the VM's last report.
 	reported uint64
 }
 
-// begin notes that a version is sent.
+// begin records that a version is sent. whole is set if it is not just a change.
 func (d *delivery) begin(whole bool, now time.Time) {
 	if d.since.IsZero() {
 		d.since, d.whole = now, false
@@ -39,8 +40,9 @@
 	d.whole = d.whole || whole
 }
 
-// report takes in which version a VM has. sent is the one that was last sent, and
-// becomes what the VM has if nothing is under way to it any more.
+// report records the version that a VM has. sent is the version that was last sent to it.
+// It is set to the VM's version if nothing is in flight or what was is lost, so that the
+// missing changes are sent again. A change counts as lost after changeLost.
 func (d *delivery) report(sent *uint64, have uint64, changeLost time.Duration, now time.Time) {
 	advanced := have != d.reported
 	d.reported = have
@@ -60,7 +62,8 @@
 	}
 }
 
-// reported takes in what a VM has by its report.
+// reported updates the deliveries with the versions that a VM has reported. interval is
+// the interval of its reports.
 func (m *member) reported(have *peerv1.PartVersions, interval time.Duration, now time.Time) {
 	if m.sent == nil {
 		m.sent = &peerv1.PartVersions{
--- a/internal/process/coordinator/listpart.go
+++ b/internal/process/coordinator/listpart.go
@@ -11,31 +11,33 @@
 )
 
 const (
-	// keptLists is the number of former lists to which differences are sent; a VM
-	// that has an older one gets the whole list.
+	// keptLists is the number of recent lists that can be the base of a difference. A VM
+	// that has an older one is sent the full list.
 	keptLists = 32
-	// partAge is how long an encoded list is used: the times in it are relative.
+	// partAge is how long an encoded list is reused. It is short because the times in a
+	// list are relative to its encoding.
 	partAge = 100 * time.Millisecond
-	// compressAbove is the size of a body, in bytes, above which it is compressed.
+	// compressAbove is the size in bytes above which a body is compressed.
 	compressAbove = 1 << 10
-	// largestBody bounds a body after decompression, in bytes.
+	// largestBody is the maximum size of a decompressed body in bytes.
 	largestBody = 16 << 20
 )
 
-// listPart is a part of the state that travels as the difference to what a VM
-// has. One difference is encoded once for all VMs.
+// listPart is a part of the state of which a VM is sent the difference to the list that
+// it has. Encoded differences are shared by all VMs that have the same list.
 type listPart[T any] struct {
 	present T
 	digest  uint64
-	// former are the last lists by digest; order has their digests from the
-	// oldest on.
+	// former are the recent lists by digest, including the present one; order has their
+	// digests, the oldest first.
 	former map[uint64]T
 	order  []uint64
-	// encoded are the differences by the digest of their base, as of encodedAt.
+	// encoded are the encoded differences by the digest of their base. They are no older
+	// than encodedAt.
 	encoded   map[uint64]*peerv1.Part
 	encodedAt time.Time
-	// difference writes what of present is new since former, which is the zero
-	// value for a VM that has nothing.
+	// difference returns the changes from former to present. former is the zero value
+	// for a VM without a list.
 	difference func(former, present T, now time.Time) proto.Message
 }
 
@@ -43,7 +45,7 @@
 	return listPart[T]{former: map[uint64]T{}, encoded: map[uint64]*peerv1.Part{}, difference: difference}
 }
 
-// set makes a list the present one.
+// set replaces the present list.
 func (p *listPart[T]) set(list T, digest uint64) {
 	p.present = list
 	if digest == p.digest {
@@ -61,13 +63,14 @@
 	clear(p.encoded)
 }
 
-// has reports whether a list is known by its digest.
+// has reports whether the list with a digest can be the base of a difference.
 func (p *listPart[T]) has(digest uint64) bool {
 	_, known := p.former[digest]
 	return known
 }
 
-// since returns what a VM lacks that has the list with a digest.
+// since returns the difference for a VM that has the list with the given digest, or the
+// full list if there is no difference to that.
 func (p *listPart[T]) since(have uint64, now time.Time) *peerv1.Part {
 	if now.Sub(p.encodedAt) > partAge {
 		clear(p.encoded)
@@ -86,16 +89,18 @@
 	return part
 }
 
+// encodePart returns a list as a part.
 func encodePart(list proto.Message) *peerv1.Part {
 	body, err := proto.Marshal(list)
 	if err != nil {
-		// Only invalid UTF-8 fails, which the platform's JSON cannot carry.
+		// Only invalid UTF-8 cannot be encoded, and strings decoded from the
+		// platform's JSON have none.
 		panic(err)
 	}
 	return partOf(body)
 }
 
-// partOf compresses a body that is large.
+// partOf returns a part with the given body, which is compressed if it is large.
 func partOf(body []byte) *peerv1.Part {
 	if len(body) <= compressAbove {
 		return &peerv1.Part{Body: body}
@@ -103,8 +108,8 @@
 	return &peerv1.Part{Body: s2.EncodeBetter(nil, body), Compressed: true}
 }
 
-// baseOf returns what a part is to be applied to: nothing if it is whole, otherwise
-// what this VM has.
+// baseOf returns the list that a part is applied to: an empty one if the part is a full
+// list, otherwise the one that this VM has.
 func baseOf[T any](part *peerv1.Part, has T) (base T) {
 	if part.Base != 0 {
 		base = has
@@ -112,7 +117,7 @@
 	return base
 }
 
-// bodyOf returns the body of a part that another VM has sent.
+// bodyOf returns the decompressed body of a part that was received from another VM.
 func bodyOf(part *peerv1.Part) ([]byte, error) {
 	if !part.Compressed {
 		return part.Body, nil
@@ -131,7 +136,7 @@
 	return body, nil
 }
 
-// decodePart reads a list that another VM has sent.
+// decodePart decodes a part that was received from another VM into a list.
 func decodePart(part *peerv1.Part, list proto.Message) error {
 	body, err := bodyOf(part)
 	if err != nil {
--- a/internal/process/coordinator/parts.go
+++ b/internal/process/coordinator/parts.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// detailPause is the time between two sendings of the owners of keys, or of
-	// the VMs, to one VM; largePause is the same in a large fleet. The broker
-	// knows the owners at once; others use them only while they do not reach it.
+	// detailPause is the minimum time between two messages to one VM with the owners of
+	// keys or the list of VMs. largePause is the same in a large fleet. The broker
+	// learns of new owners at once; other VMs use them only while they cannot reach it.
 	detailPause = time.Second
 	largePause  = 2 * time.Second
-	// slicesAge is the least time between two versions of the slices that are
-	// sent; keptLists of them are older than largePause.
+	// slicesAge is the minimum time between two versions of the slices. keptLists
+	// versions must span more than largePause, so that a VM's version is still a base
+	// for differences.
 	slicesAge = 250 * time.Millisecond
 )
 
-// parts are the parts of a leader's state as they are sent.
+// parts holds the leader's state in the form in which it is sent to the other VMs. Each
+// part has a version: that of the configuration, or a digest of its content.
 type parts struct {
 	config        *peerv1.Part
 	configVersion uint64
@@ -32,9 +34,9 @@
 	slices  listPart[sliceSet]
 	members listPart[memberSet]
 
-	// owned are the slices of which slices gets a version at the next sending
-	// after slicesAge, if there are any new ones: they change with every grant
-	// that is confirmed.
+	// owned are the latest slices; newOwned is set if they are not in the slices part
+	// yet. They change with every confirmed grant, so they become a new version of the
+	// part only if the last one, made at slicesSet, is older than slicesAge.
 	owned     sliceSet
 	newOwned  bool
 	slicesSet time.Time
@@ -59,8 +61,8 @@
 	}
 }
 
-// adopt begins with the lists that this VM has of the former leader, by their names
-// there: other VMs have the same, and get what changes as differences to them.
+// adopt starts from the lists that this VM received from the former leader, under their
+// digests there. Other VMs have the same lists and receive changes as differences to them.
 func (p *parts) adopt(view *fleet.View, have *peerv1.PartVersions) {
 	if have.Targets != 0 {
 		p.targets.set(targetSet{view.Targets, view.Evacuated}, have.Targets)
@@ -73,7 +75,7 @@
 	}
 }
 
-// versions returns the present digests.
+// versions returns the current version of each part.
 func (p *parts) versions(now time.Time) *peerv1.PartVersions {
 	if p.newOwned && now.Sub(p.slicesSet) >= slicesAge {
 		p.newOwned, p.slicesSet = false, now
@@ -101,7 +103,7 @@
 	p.members.set(memberSet{members, brokers}, digestMembers(members, brokers))
 }
 
-// digest hashes values in order.
+// digest computes a hash of a sequence of values.
 type digest struct{ hash xxh3.Hasher }
 
 func (d *digest) text(values ...string) {
@@ -129,7 +131,7 @@
 	}
 }
 
-// sum is never 0, which means that a VM has nothing.
+// sum returns the hash. It is never 0, which stands for a VM without the part.
 func (d *digest) sum() uint64 { return d.hash.Sum64() | 1 }
 
 func digestTargets(targets map[string]*fleet.Target, evacuated map[string]bool) uint64 {
