--- a/internal/process/coordinator/former_test.go
+++ b/internal/process/coordinator/former_test.go
@@ -9,7 +9,9 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/testutil/seed"
 )
 
-// TestFormerLeaderGrantsNothingToANextLife: it does not know that another leader has moved the keys away.
+// TestFormerLeaderGrantsNothingToANextLife checks that a leader that was cut off does not
+// grant a restarted target its former keys: it does not know that another leader has moved
+// them.
 func TestFormerLeaderGrantsNothingToANextLife(t *testing.T) {
 	for after := 100 * time.Millisecond; after <= 800*time.Millisecond; after += 100 * time.Millisecond {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
@@ -31,7 +33,7 @@
 	}
 }
 
-// awaitRelease waits until a target holds no keys.
+// awaitRelease waits until a target holds none of the sampled keys.
 func (w *world) awaitRelease(id string, within time.Duration) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if !w.holdsAny(id) {
@@ -52,7 +54,9 @@
 	return false
 }
 
-// TestReleaseWaitsForAGrantOnItsWay: a target answers a release, ends and starts again under its id, while the connection of a grant that was sent before is being opened.
+// TestReleaseWaitsForAGrantOnItsWay: a target answers a release, ends and restarts under its
+// ID while the connection for an earlier grant is still being opened. That grant must not
+// give the new process the released keys.
 func TestReleaseWaitsForAGrantOnItsWay(t *testing.T) {
 	for after := time.Duration(0); after < 500*time.Millisecond; after += 50 * time.Millisecond {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
@@ -84,7 +88,8 @@
 	w.set(func() { w.problem("no connection to %s was opened within %s", address, within) })
 }
 
-// TestReportsThatWereHeldUpConfirmNobody: a leader that was cut off has been replaced, and gets the reports that others sent to it before.
+// TestReportsThatWereHeldUpConfirmNobody: a leader that was cut off has been replaced, and then
+// receives delayed reports that other VMs sent while they followed it.
 func TestReportsThatWereHeldUpConfirmNobody(t *testing.T) {
 	for i := range uint64(6) {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -117,7 +122,7 @@
 	}
 }
 
-// awaitLeaderBesides waits until another VM leads and returns its name.
+// awaitLeaderBesides waits until a VM other than first leads and returns its name.
 func (w *world) awaitLeaderBesides(first string, within time.Duration) string {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, n := range w.running() {
@@ -131,7 +136,8 @@
 	return ""
 }
 
-// TestLateAnswerOfTheStoreConfirmsNobody: a leader learns late that the record had no other leader yet, and has another by then.
+// TestLateAnswerOfTheStoreConfirmsNobody: the store's answer that the record still names the
+// leader arrives only after the leader has been replaced.
 func TestLateAnswerOfTheStoreConfirmsNobody(t *testing.T) {
 	for after := time.Duration(0); after < 2*time.Second; after += 100 * time.Millisecond {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
@@ -157,7 +163,8 @@
 	}
 }
 
-// TestLostConnectionsOverAnOutage: without the store, the reports of the VMs confirm a leader that needs other fences.
+// TestLostConnectionsOverAnOutage: all targets lose their connections during a store outage.
+// The reports of the VMs confirm the leader, so that it can send new fences.
 func TestLostConnectionsOverAnOutage(t *testing.T) {
 	for _, vms := range []int{5, 50} {
 		t.Run(fmt.Sprint(vms), func(t *testing.T) {
@@ -170,13 +177,15 @@
 					w.loseConnections(id)
 				}
 				gap := w.longestGap(10 * time.Second)
-				w.check(gap == 0, "a key was held by nobody for %s", gap)
+				w.check(gap == 0, "a key had no owner for %s", gap)
 			})
 		})
 	}
 }
 
-// TestLeaderThatStepsDownTakesItsOrdersBack: a grant of it is under way while its successor moves the keys, and the target starts again.
+// TestLeaderThatStepsDownTakesItsOrdersBack: a leader that hands over cancels its orders in
+// flight. Otherwise a grant could reach a restarted target after the next leader has moved
+// the keys.
 func TestLeaderThatStepsDownTakesItsOrdersBack(t *testing.T) {
 	for after := time.Duration(0); after < 200*time.Millisecond; after += 20 * time.Millisecond {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
@@ -199,7 +208,9 @@
 	}
 }
 
-// TestRefusedRenewalShowsAnotherLeader: a leader that most VMs follow, without the store, learns by a renewal that another gives out higher fences, and a target starts again.
+// TestRefusedRenewalShowsAnotherLeader: a leader without the store that most VMs follow
+// learns from a refused renewal that another leader assigns higher fences. Then a target
+// restarts.
 func TestRefusedRenewalShowsAnotherLeader(t *testing.T) {
 	for i := range uint64(8) {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -229,7 +240,9 @@
 	}
 }
 
-// TestLeadersWithoutACommonTarget: one reaches the store and the targets of its failure domain, the other most VMs and the other targets, whose entries lapse.
+// TestLeadersWithoutACommonTarget: during a partition, one leader reaches the store and the
+// targets of its failure domain, the other most VMs and the other targets, whose
+// registrations expire.
 func TestLeadersWithoutACommonTarget(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -33,6 +33,7 @@
 	return targets
 }
 
+// changed returns a copy of targets in which change was applied to one target.
 func changed(targets map[string]*fleet.Target, id string, change func(*fleet.Target)) map[string]*fleet.Target {
 	next := map[string]*fleet.Target{}
 	for key, t := range targets {
@@ -44,7 +45,7 @@
 	return next
 }
 
-// manySlices returns the slices of a service whose targets own one each.
+// manySlices returns the slices of a service with one slice per target.
 func manySlices(count int) sliceSet {
 	list := make([]fleet.Slice, count)
 	width := fleet.Keys / count
@@ -73,8 +74,8 @@
 	return list
 }
 
-// TestDifferenceBringsUpToDate: a VM that has a former list gets what changed,
-// in a message that does not grow with the fleet.
+// TestDifferenceBringsUpToDate: a VM that has an earlier list is sent only the changes, in
+// a message whose size does not depend on that of the fleet.
 func TestDifferenceBringsUpToDate(t *testing.T) {
 	now := time.Now()
 	p := newParts()
@@ -95,9 +96,9 @@
 	assert.Equal(t, digestTargets(got, evacuated), p.targets.digest)
 }
 
-// TestSlicesTravelAsDifferences: a change of a few owners is sent as a message of
-// their size, whatever the number of slices; any series of moves, joins and
-// confirmations leads to the leader's list.
+// TestSlicesTravelAsDifferences: a change of a few owners is sent as a small message,
+// whatever the number of slices. Any series of moves, joins, splits and confirmations
+// reproduces the leader's list.
 func TestSlicesTravelAsDifferences(t *testing.T) {
 	now := time.Now()
 	p := newParts()
@@ -146,8 +147,8 @@
 	assert.Equal(t, digestSlices(has), p.slices.digest)
 }
 
-// TestOwnersAreNotSentForEachConfirmation: while grants are confirmed one by one,
-// the slices get a few versions a second, and the last of them is the present one.
+// TestOwnersAreNotSentForEachConfirmation: while grants are confirmed one by one, the
+// slices get only a few new versions per second, and the last version is the current state.
 func TestOwnersAreNotSentForEachConfirmation(t *testing.T) {
 	now := time.Now()
 	p := newParts()
@@ -165,7 +166,7 @@
 	assert.Equal(t, p.versions(now.Add(slicesAge)).Slices, digestSlices(present))
 }
 
-// TestMembersTravelAsDifferences: the same for VMs that come and go.
+// TestMembersTravelAsDifferences: VMs that join or leave are sent as a small message too.
 func TestMembersTravelAsDifferences(t *testing.T) {
 	now := time.Now()
 	p := newParts()
@@ -184,7 +185,8 @@
 	assert.DeepEqual(t, has.brokers, map[string]string{"a": "edge-001"})
 }
 
-// TestUnknownBaseGetsEverything: also one that has become too old.
+// TestUnknownBaseGetsEverything: a VM whose list is unknown, or too old, is sent the full
+// list.
 func TestUnknownBaseGetsEverything(t *testing.T) {
 	p := newParts()
 	targets := manyTargets(5)
@@ -201,8 +203,8 @@
 	assert.Equal(t, len(p.targets.former), keptLists)
 }
 
-// TestLargePartsAreCompressed: whole lists of a large fleet go to every VM that
-// starts; damaged ones are reported.
+// TestLargePartsAreCompressed: full lists of a large fleet, which are sent to every VM that
+// starts, are compressed. Damaged and too large bodies are reported.
 func TestLargePartsAreCompressed(t *testing.T) {
 	now := time.Now()
 	p := newParts()
@@ -218,8 +220,8 @@
 	assert.Assert(t, fault.Is(decodePart(huge, &peerv1.TargetList{}), fault.Invalid))
 }
 
-// TestSameContentHasOneName: a new leader with the same knowledge sends nothing
-// again.
+// TestSameContentHasOneName: the same content has the same digest on every VM, so that a new
+// leader with the same state sends nothing again.
 func TestSameContentHasOneName(t *testing.T) {
 	a, b := newParts(), newParts()
 	now := time.Now()
@@ -231,7 +233,7 @@
 	assert.Assert(t, a.targets.digest != b.targets.digest)
 }
 
-// TestTakeOverDecision: who may take over from whom.
+// TestTakeOverDecision checks on which evidence a VM may take over from the leader.
 func TestTakeOverDecision(t *testing.T) {
 	silent := 2 * silentAfter
 	for name, c := range map[string]struct {
@@ -259,7 +261,7 @@
 	}
 }
 
-// TestKeeperForgetsFormerSlices: what is kept of a slice ends with it.
+// TestKeeperForgetsFormerSlices: the state of a slice is removed together with the slice.
 func TestKeeperForgetsFormerSlices(t *testing.T) {
 	now := time.Now()
 	life := fleet.Life{ID: "t", Born: 1}
@@ -279,8 +281,8 @@
 	assert.Equal(t, len(k.readySince), 1)
 }
 
-// TestRenewalsShareConnections: a target with many slices gets its renewals a few
-// at a time, and all of them in time.
+// TestRenewalsShareConnections: a target with many slices is sent its renewals a few at a
+// time, and all of them in time.
 func TestRenewalsShareConnections(t *testing.T) {
 	const slices = 24
 	owner := fleet.Life{ID: "a", Born: 1}
@@ -311,13 +313,13 @@
 	assert.Equal(t, len(renewed), slices)
 	assert.Assert(t, most <= renewalsAtOnce, "%d renewals at once", most)
 
-	// Renewals that are not answered do not hold up those that are late.
+	// Renewals without an answer do not block those that are overdue.
 	now = now.Add(renewEvery + renewSlack)
 	assert.Equal(t, len(k.due(now, 0)), slices)
 }
 
-// TestNextLifeMayHoldGrants: grants that were sent to a life of a target that is
-// over may have reached the next one, before and after that is known.
+// TestNextLifeMayHoldGrants: grants that were sent to a former incarnation of a target may
+// have reached the next one, whether they complete before or after the restart is known.
 func TestNextLifeMayHoldGrants(t *testing.T) {
 	former, present := fleet.Life{ID: "a", Born: 1}, fleet.Life{ID: "a", Born: 2}
 	slice := fleet.Slice{First: 0, Last: 9, Owner: former, Fence: 1}
@@ -333,7 +335,8 @@
 	assert.Assert(t, k.mayHold(present, now.Add(2*usualHold)))
 }
 
-// TestLostRenewalsOfAnEndedTargetHoldNothing: a renewal goes to the process that has ended, a new fence may have gone to the next one.
+// TestLostRenewalsOfAnEndedTargetHoldNothing: a renewal without an answer was sent to the
+// process that has ended, while a grant at a new fence may have reached the next one.
 func TestLostRenewalsOfAnEndedTargetHoldNothing(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		asked := time.Now()
@@ -348,7 +351,8 @@
 	}
 }
 
-// TestFirstGrantUnderWayIsHeld: a target whose first grant has no answer yet may hold the keys that go to another.
+// TestFirstGrantUnderWayIsHeld: keys are not granted to another target while the first grant
+// to their former owner has no answer yet.
 func TestFirstGrantUnderWayIsHeld(t *testing.T) {
 	now := time.Now()
 	former, next := fleet.Life{ID: "b", Born: 1}, fleet.Life{ID: "c", Born: 1}
@@ -365,7 +369,7 @@
 	assert.Equal(t, len(k.expire(now.Add(grantTimeout+2*usualHold))), 1)
 }
 
-// keptSender keeps what is sent, as the queue of a link does.
+// keptSender records the messages that are sent, without encoding them.
 type keptSender struct{ sent []*peerv1.Control }
 
 func (s *keptSender) Send(_ string, message *peerv1.Control) { s.sent = append(s.sent, message) }
@@ -374,7 +378,8 @@
 	return nil, context.Canceled
 }
 
-// TestReportIsNotChangedWhileItIsSent: messages are encoded after Send has returned.
+// TestReportIsNotChangedWhileItIsSent: messages are encoded only after Send has returned, so
+// that later changes must not reach them.
 func TestReportIsNotChangedWhileItIsSent(t *testing.T) {
 	sender := &keptSender{}
 	c := &Coordinator{config: Config{Sender: sender}, view: &fleet.View{}, have: &peerv1.PartVersions{Targets: 7}}
@@ -383,16 +388,16 @@
 	assert.Equal(t, sender.sent[0].GetMemberReport().Have.Targets, uint64(7))
 }
 
-// TestLostPartIsSentAgain within the bound, while the owners of keys change all the
-// time and arrive, and also if some of those are lost.
+// TestLostPartIsSentAgain: a lost part is sent again within its bound while the owners of
+// keys change all the time, whether the configuration or the owners were lost.
 func TestLostPartIsSentAgain(t *testing.T) {
 	for _, lost := range []string{"config", "slices"} {
 		synctest.Test(t, func(t *testing.T) { loseOnce(t, lost) })
 	}
 }
 
-// loseOnce lets one message with a part get lost, and checks that the VM has the part
-// soon after.
+// loseOnce drops one message with a part and checks that the VM has the part within the
+// bound.
 func loseOnce(t *testing.T, lost string) {
 	sender := &keptSender{}
 	m := &member{Member: fleet.Member{VM: "b", Incarnation: "1"}}
--- a/internal/process/coordinator/target_test.go
+++ b/internal/process/coordinator/target_test.go
@@ -11,37 +11,42 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// fakeTarget holds keys as the platform's servers do: it refuses a grant below
-// a fence that it has seen, lets grants run out, and answers a release when its
-// work has ended.
+// fakeTarget is a process of a target. It holds keys as the platform's servers do: it
+// refuses a grant below a fence that it has seen, lets grants expire, and answers a
+// release when its running requests have completed.
 type fakeTarget struct {
 	fleet.Target
 	ended bool
-	// silent targets neither take nor answer orders. Once they have ended, orders
-	// that wait for them reach the next target at the address.
+	// silent targets neither accept nor answer orders. Orders that wait for a silent
+	// target that has ended reach the next target at its address.
 	silent bool
 	keys   [sampled]heldKey
 }
 
+// heldKey is a target's state of a key.
 type heldKey struct {
+	// seen is the highest fence of any order, fence that of the last grant.
 	seen  uint64
 	fence uint64
+	// until is when the grant expires; zero after a release.
 	until time.Time
 }
 
-// fenced is the highest fence at which a key was granted, and to whom.
+// fenced is the highest fence at which a key was granted, and the process that received
+// that grant.
 type fenced struct {
 	fence uint64
 	life  fleet.Life
 }
 
-// workTime is how long a release waits for the work on the keys.
+// workTime is how long a release waits for running requests on the keys.
 const workTime = 60 * time.Millisecond
 
+// startTarget starts and registers a target.
 func (w *world) startTarget(id string) { w.put("servers/"+id, w.startAt(id, id).Target) }
 
-// startAt starts a target at a place, where another may have been; it is not
-// registered yet.
+// startAt starts a target without registering it. place gives its address and failure
+// domain; another process that runs at the address is ended first.
 func (w *world) startAt(place, id string) *fakeTarget {
 	target := &fakeTarget{Target: fleet.Target{
 		Life: fleet.Life{ID: id, Born: time.Now().UnixMilli()}, Service: service, Address: place + ":1", FailureDomain: domainOf(place), Slots: 2,
@@ -59,8 +64,8 @@
 // end ends a target's process.
 func (t *fakeTarget) end() { t.ended = true }
 
-// targetAt returns the target that runs at an address, or the last that did; the
-// lock is held.
+// targetAt returns the target that runs at an address, or the last one that did. The
+// caller holds w.mu.
 func (w *world) targetAt(address string) *fakeTarget {
 	var found *fakeTarget
 	for _, target := range w.targets {
@@ -71,13 +76,14 @@
 	return found
 }
 
-// endTarget ends a target's process; its entry lapses later.
+// endTarget ends a target's process and leaves it registered.
 func (w *world) endTarget(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.targets[id].end()
 }
 
+// leaveTarget marks a target as leaving in its registration.
 func (w *world) leaveTarget(id string) {
 	w.mu.Lock()
 	copied := w.targets[id].Target
@@ -86,8 +92,8 @@
 	w.put("servers/"+id, copied)
 }
 
-// Grant implements coordinator.Targets. The process that took a fence is known until
-// a grant of it gets no answer.
+// Grant implements coordinator.Targets. The process that accepted a fence is known until a
+// grant at that fence gets no answer.
 func (n *node) Grant(ctx context.Context, to fleet.Target, slice fleet.Slice, again bool, hold time.Duration, _ string) error {
 	w := n.world
 	w.mu.Lock()
@@ -124,9 +130,9 @@
 	return "handover", err
 }
 
-// order carries an order to a target: at once, late and without an answer, or
-// not at all. It goes to a process over a connection that is open, or else over a
-// new one to the target's address. lost is called if it gets no answer.
+// order delivers an order to a target: immediately, late and without an answer, or not at
+// all. If process is not nil, the order goes to it over an open connection, otherwise over
+// a new one to the target's address. lost is called if the order gets no answer.
 func (n *node) order(ctx context.Context, to fleet.Target, process *fakeTarget, apply func(*fakeTarget, time.Time) error, lost func()) error {
 	time.Sleep(2 * time.Millisecond)
 	w := n.world
@@ -165,7 +171,7 @@
 	return apply(target, time.Now())
 }
 
-// open takes the time that the opening of a connection to an address takes.
+// open waits for as long as it takes to open a connection to an address.
 func (w *world) open(ctx context.Context, from, address string) {
 	w.mu.Lock()
 	takes := max(w.openings[address], w.openings[from+">"+address])
@@ -178,7 +184,7 @@
 	w.set(func() { w.opening[address]-- })
 }
 
-// loseConnections ends the connections over which a target took its fences.
+// loseConnections breaks the connections over which a target accepted its fences.
 func (w *world) loseConnections(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,8 +193,8 @@
 	}
 }
 
-// awaitSuccessor waits while the target at an address has ended without a word: an
-// opening packet that nobody answers is sent again.
+// awaitSuccessor waits while the target at an address is one that ended silently: a SYN
+// packet that is not answered is retransmitted, until the next process answers it.
 func (w *world) awaitSuccessor(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
@@ -202,7 +208,7 @@
 	}
 }
 
-// fallSilent ends a target whose address refuses no connections.
+// fallSilent ends a target whose address drops packets instead of refusing connections.
 func (w *world) fallSilent(id string) {
 	w.set(func() {
 		w.targets[id].end()
@@ -210,8 +216,8 @@
 	})
 }
 
-// grant gives a target keys and checks that nobody else has them; late orders may
-// come at fences that are used up.
+// grant gives a target keys and checks that no other target holds them. The fences of
+// late orders may be outdated and are not compared with those of ended targets.
 func (w *world) grant(target *fakeTarget, slice fleet.Slice, until time.Time, late bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -243,8 +249,8 @@
 	return nil
 }
 
-// checkFence compares a fence with those that any other target has had for a key,
-// also one that has ended; the lock is held.
+// checkFence checks that a fence is above those of all other targets that a key was
+// granted to, including ended ones. The caller holds w.mu.
 func (w *world) checkFence(i int, target *fakeTarget, fence uint64) {
 	last := &w.fenced[i]
 	if last.life != target.Life && fence <= last.fence {
@@ -255,6 +261,7 @@
 	}
 }
 
+// release ends a target's grants at or below the slice's fence.
 func (w *world) release(target *fakeTarget, slice fleet.Slice) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -266,7 +273,8 @@
 	}
 }
 
-// checkKey compares a key's new owner with all others; the lock is held.
+// checkKey checks that no other running target holds a key that was granted to owner, or
+// has had it at the same or a higher fence. The caller holds w.mu.
 func (w *world) checkKey(i int, owner *fakeTarget) {
 	now := time.Now()
 	for id, other := range w.targets {
@@ -285,7 +293,7 @@
 	}
 }
 
-// heldKeys tells which sampled keys a live target holds now.
+// heldKeys returns which of the sampled keys are held by a running target.
 func (w *world) heldKeys() (held [sampled]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -297,7 +305,7 @@
 	return held
 }
 
-// held returns how many sampled keys a live target holds now.
+// held returns how many of the sampled keys are held by a running target.
 func (w *world) held() int {
 	count := 0
 	for _, held := range w.heldKeys() {
