--- a/internal/process/coordinator/listpart.go
+++ b/internal/process/coordinator/listpart.go
@@ -124,14 +124,14 @@
 	}
 	size, err := s2.DecodedLen(part.Body)
 	if err == nil && size > largestBody {
-		return nil, fault.New(fault.Invalid, "the VMs run the same release", "a part of %d bytes is above the limit of %d", size, largestBody)
+		return nil, fault.New(fault.Invalid, "run the same release on all VMs", "a part of %d bytes is above the limit of %d", size, largestBody)
 	}
 	var body []byte
 	if err == nil {
 		body, err = s2.Decode(nil, part.Body)
 	}
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Invalid, "the VMs run the same release", "a part of the leader's state cannot be read")
+		return nil, fault.Wrap(err, fault.Invalid, "run the same release on all VMs", "a part of the leader's state cannot be read")
 	}
 	return body, nil
 }
@@ -143,7 +143,7 @@
 		return err
 	}
 	if err := proto.Unmarshal(body, list); err != nil {
-		return fault.Wrap(err, fault.Invalid, "the VMs run the same release", "a part of the leader's state cannot be read")
+		return fault.Wrap(err, fault.Invalid, "run the same release on all VMs", "a part of the leader's state cannot be read")
 	}
 	return nil
 }
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -240,21 +240,21 @@
 		evidence
 		may bool
 	}{
-		"heard":                           {evidence{silentFor: silentAfter / 2}, false},
-		"yields":                          {evidence{yielding: true}, true},
-		"lost a store that is just back":  {evidence{yielding: true, storeBack: true}, false},
-		"its process is gone":             {evidence{ended: true, silentFor: silent}, true},
-		"refused here, heard elsewhere":   {evidence{ended: true, silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 2}, false},
-		"nobody hears it":                 {evidence{silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 3}, true},
-		"one of three hears it":           {evidence{silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 2}, false},
-		"one of nine hears it":            {evidence{silentFor: silent, known: 20, asked: 9, answered: 9, deaf: 8}, true},
-		"this VM hears nobody":            {evidence{silentFor: silent, known: 5, asked: 5}, false},
-		"this VM hears nobody, for long":  {evidence{silentFor: 4 * silent, known: 5, asked: 5, unchangedFor: aloneAfter}, true},
-		"hears nobody, but it is written": {evidence{silentFor: 10 * silent, known: 5, asked: 5, unchangedFor: aloneAfter / 2}, false},
-		"a third is cut off together":     {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3}, false},
-		"lost with most of the others":    {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3, dead: 6}, true},
-		"cut off by refusals, it writes":  {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3, dead: 6, written: true}, false},
-		"few hear of it, and no writes":   {evidence{silentFor: silent, known: 20, asked: 9, answered: 2, deaf: 2, unchangedFor: staleAfter}, true},
+		"recent heartbeat": {evidence{silentFor: silentAfter / 2}, false},
+		"leader yields":    {evidence{yielding: true}, true},
+		"leader yields, but the store is just back":                {evidence{yielding: true, storeBack: true}, false},
+		"leader process has ended":                                 {evidence{ended: true, silentFor: silent}, true},
+		"refuses connections here, heartbeats elsewhere":           {evidence{ended: true, silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 2}, false},
+		"no VM gets heartbeats":                                    {evidence{silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 3}, true},
+		"one VM of three gets heartbeats":                          {evidence{silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 2}, false},
+		"one VM of nine gets heartbeats":                           {evidence{silentFor: silent, known: 20, asked: 9, answered: 9, deaf: 8}, true},
+		"no VM answers":                                            {evidence{silentFor: silent, known: 5, asked: 5}, false},
+		"no VM answers, record long unchanged":                     {evidence{silentFor: 4 * silent, known: 5, asked: 5, unchangedFor: aloneAfter}, true},
+		"no VM answers, record changed lately":                     {evidence{silentFor: 10 * silent, known: 5, asked: 5, unchangedFor: aloneAfter / 2}, false},
+		"a third of the VMs is cut off together":                   {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3}, false},
+		"leader lost together with most VMs":                       {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3, dead: 6}, true},
+		"this VM is cut off by refused connections, leader writes": {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3, dead: 6, written: true}, false},
+		"few VMs answer, record unchanged":                         {evidence{silentFor: silent, known: 20, asked: 9, answered: 2, deaf: 2, unchangedFor: staleAfter}, true},
 	} {
 		may, why := mayTakeOver(c.evidence)
 		assert.Equal(t, may, c.may, "%s: %s", name, why)
