--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -49,7 +49,7 @@
 	if !c.mayAct() {
 		return
 	}
-	for _, s := range l.keeper.expire(now) {
+	for _, s := range l.keeper.expireFormerOwners(now) {
 		events.GrantsRanOut.Log(c.config.Logger).Int("first", int(s.First)).Int("last", int(s.Last)).Uint64("fence", s.Fence).Send()
 	}
 	if l.keeper.expireReady(now) {
@@ -64,10 +64,10 @@
 // carryOutDue sends the orders that are due.
 func (c *Coordinator) carryOutDue(now time.Time) {
 	k, confirmed := c.lead.keeper, time.Duration(0)
-	if len(k.awaits) > 0 {
+	if len(k.minConfirmedUptime) > 0 {
 		confirmed = c.confirmedLately()
 	}
-	for _, t := range k.due(now, confirmed) {
+	for _, t := range k.dueTasks(now, confirmed) {
 		c.carryOut(t)
 	}
 }
@@ -139,7 +139,7 @@
 // capacity returns the number of slots of a target, reduced if it is slow, failing or
 // cold; 0 if it must not own keys.
 func (c *Coordinator) capacity(t *fleet.Target, observed admission.Observation, now time.Time) float64 {
-	if !c.view.Usable(t) || c.lead.keeper.gone[t.Life] {
+	if !c.view.Usable(t) || c.lead.keeper.endedTargets[t.Life] {
 		return 0
 	}
 	capacity := float64(t.Slots)
@@ -157,37 +157,37 @@
 func (c *Coordinator) writeMoves(service string, current []fleet.Slice, moves []keyspace.Move) {
 	l := c.lead
 	first := l.keeper.fences.next
-	list := keyspace.Apply(current, moves, l.keeper.fences.plan)
+	list := keyspace.Apply(current, moves, l.keeper.fences.allocate)
 	planned := l.keeper.fences.next
 	c.write(l.next(service, list), func(err error) {
 		if err != nil {
 			events.MovesNotWritten.Log(c.config.Logger).Str("service", service).Int("moves", len(moves)).Err(err).Send()
 			return
 		}
-		c.beginMoves(service, moves, fences{first, planned - 1})
+		c.beginMoves(service, moves, fenceRange{first, planned - 1})
 	})
 }
 
 // beginMoves starts moves that have been written to the record. planned are the fences
 // that were assigned to them.
-func (c *Coordinator) beginMoves(service string, moves []keyspace.Move, planned fences) {
+func (c *Coordinator) beginMoves(service string, moves []keyspace.Move, planned fenceRange) {
 	l := c.lead
 	for _, m := range moves {
 		events.MovePlanned.Log(c.config.Logger).Str("service", service).Int("first", int(m.First)).Int("last", int(m.Last)).
 			Str("to", m.To.ID).Bool("joins", m.Joins).Uint64("term", l.record.Term).Int64("revision", l.revision).Send()
 	}
-	l.keeper.begin(service, l.record.Slices[service], planned)
+	l.keeper.applyMoves(service, l.record.Slices[service], planned)
 	c.noteLives(c.view.Targets, time.Now())
 	c.slicesChanged()
 	c.carryOutDue(time.Now())
 }
 
-// begin replaces the slices of a service with those that were written to the record.
+// applyMoves replaces the slices of a service with those that were written to the record.
 // Slices that move have one of the planned fences; for the others, what has changed
 // during the write is kept. If other slices were assigned fences above the planned ones
 // during the write, the moved slices get new fences as well: a release needs a higher
 // fence than the one that the former owner has.
-func (k *keeper) begin(service string, written []fleet.Slice, planned fences) {
+func (k *leaseTable) applyMoves(service string, written []fleet.Slice, planned fenceRange) {
 	live := k.slices[service]
 	k.slices[service] = append([]fleet.Slice(nil), written...)
 	for i := range k.slices[service] {
@@ -205,12 +205,12 @@
 			k.adoptProgress(s, known)
 		}
 	}
-	k.forgetFormer()
+	k.prune()
 }
 
 // adoptProgress copies the current state of a slice to its written form, or to a part
 // of the slice.
-func (k *keeper) adoptProgress(s, known *fleet.Slice) {
+func (k *leaseTable) adoptProgress(s, known *fleet.Slice) {
 	s.Fence, s.From, s.Ready = known.Fence, known.From, known.Ready
 	if at, confirmed := k.confirmedAt[idOf(known)]; confirmed {
 		k.confirmedAt[idOf(s)] = at
@@ -236,7 +236,7 @@
 	known := c.view.Targets[t.target.ID]
 	if known == nil || known.Life != t.target || !c.mayAct() {
 		// Without the incarnation's address, its grants have to expire.
-		l.keeper.failed(t, time.Now())
+		l.keeper.orderFailed(t, time.Now())
 		return
 	}
 	to := *known
@@ -261,11 +261,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	return "", c.config.Targets.Grant(ctx, to, t.slice, t.again, c.hold(), t.handover)
+	return "", c.config.Targets.Grant(ctx, to, t.slice, t.fenceSent, c.hold(), t.handover)
 }
 
 // hold returns how long a grant lasts.
-func (c *Coordinator) hold() time.Duration { return min(usualHold, c.config.LongestHold) }
+func (c *Coordinator) hold() time.Duration { return min(defaultLeaseDuration, c.config.LongestHold) }
 
 // orderDone handles the result of an order that was sent at began.
 func (c *Coordinator) orderDone(t task, handover string, err error, began time.Time) {
@@ -274,27 +274,27 @@
 	changed, higher := false, uint64(0)
 	switch {
 	case fault.Is(err, fault.NotFound):
-		k.failed(t, now)
+		k.orderFailed(t, now)
 		c.confirmEnd(t.target)
 	case fault.Is(err, fault.Refused):
 		// Another process listens at the target's address, so the target has ended.
-		k.failed(t, now)
-		changed = !k.gone[t.target]
-		k.ended(t.target, now)
+		k.orderFailed(t, now)
+		changed = !k.endedTargets[t.target]
+		k.markEnded(t.target, now)
 	case t.release && err == nil:
-		changed = k.released(t, handover)
+		changed = k.releaseDone(t, handover)
 	case t.release:
-		k.failed(t, now)
+		k.orderFailed(t, now)
 	case fault.Is(err, fault.Conflict):
-		k.failed(t, now)
+		k.orderFailed(t, now)
 		refused := !errors.Is(err, target.ErrProcessUnknown)
-		if refused && k.isOutdone(t) {
+		if refused && k.provesNewerLeader(t) {
 			c.lead.outdone(c.config.Uptime())
 		}
-		higher = k.conflicted(t, refused, now, c.config.Uptime())
+		higher = k.handleConflict(t, refused, now, c.config.Uptime())
 		changed = higher != 0
 	default:
-		changed = k.granted(t, err == nil, now)
+		changed = k.grantDone(t, err == nil, now)
 	}
 	c.logOrder(t, err, now.Sub(began), changed, higher)
 	if changed {
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -41,7 +41,7 @@
 type leadership struct {
 	record   fleet.Record
 	revision int64
-	keeper   *keeper
+	keeper   *leaseTable
 	// orders is the context of the orders to targets; stop ends it.
 	orders  context.Context
 	stop    context.CancelFunc
@@ -114,16 +114,16 @@
 
 // newLeadership returns the state of a leader that has just been written into the
 // record, which gives it fences. formerEnded is set if no former leader can act any more.
-func newLeadership(record fleet.Record, revision int64, given fences, formerEnded bool, view *fleet.View, hold time.Duration, now time.Time) *leadership {
+func newLeadership(record fleet.Record, revision int64, given fenceRange, formerEnded bool, view *fleet.View, hold time.Duration, now time.Time) *leadership {
 	l := &leadership{
-		record: record, revision: revision, writes: record.Write, keeper: newKeeper(record.Slices, given, hold),
+		record: record, revision: revision, writes: record.Write, keeper: newLeaseTable(record.Slices, given, hold),
 		members: map[string]*member{}, parts: newParts(), confirming: map[fleet.Life]bool{},
 		since: now, storeHeardAt: now, touchAt: now.Add(touchEvery),
 	}
 	if formerEnded {
 		l.superseded = true
-		l.keeper.formerIsGone = true
-		l.keeper.formerEnded(now)
+		l.keeper.formerLeaderEnded = true
+		l.keeper.setSoleLeader(now)
 	}
 	for name, m := range view.Members {
 		if name != record.Leader.VM {
@@ -146,7 +146,7 @@
 	// The own view goes its own ways from here on.
 	l.parts.adopt(c.view, c.have)
 	c.have = &peerv1.PartVersions{}
-	l.keeper.adopt(c.view.Slices, time.Now())
+	l.keeper.adoptReady(c.view.Slices, time.Now())
 	c.config.AdoptRepeats(repeatsFromWire(c.repeats), c.heardAt)
 	c.repeats = nil
 	view := *c.view
@@ -228,6 +228,6 @@
 		}
 	}
 	for former, present := range started {
-		k.startedAgain(former, present, now)
+		k.markRestarted(former, present, now)
 	}
 }
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -265,19 +265,19 @@
 func TestKeeperForgetsFormerSlices(t *testing.T) {
 	now := time.Now()
 	life := fleet.Life{ID: "t", Born: 1}
-	k := newKeeper(nil, fencesAfter(&fleet.Record{}), usualHold)
-	k.formerEnded(now.Add(-time.Minute))
+	k := newLeaseTable(nil, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
+	k.setSoleLeader(now.Add(-time.Minute))
 	for range 100 {
-		fence := k.fences.plan()
-		k.begin("s", []fleet.Slice{{First: 0, Last: 65535, Owner: life, Fence: fence}}, fences{fence, fence})
+		fence := k.fences.allocate()
+		k.applyMoves("s", []fleet.Slice{{First: 0, Last: 65535, Owner: life, Fence: fence}}, fenceRange{fence, fence})
 		k.handovers[fence] = "handover"
-		tasks := k.due(now, 0)
+		tasks := k.dueTasks(now, 0)
 		assert.Equal(t, len(tasks), 1)
-		assert.Assert(t, k.granted(tasks[0], true, now))
+		assert.Assert(t, k.grantDone(tasks[0], true, now))
 	}
 	assert.Equal(t, len(k.handovers), 1)
 	assert.Equal(t, len(k.confirmedAt), 1)
-	assert.Equal(t, len(k.sent), 1)
+	assert.Equal(t, len(k.sentFences), 1)
 	assert.Equal(t, len(k.readySince), 1)
 }
 
@@ -290,32 +290,32 @@
 	for i := range slices {
 		list = append(list, fleet.Slice{First: uint16(i * 10), Last: uint16(i*10 + 9), Owner: owner, Fence: uint64(i + 1), Ready: true})
 	}
-	k := newKeeper(map[string][]fleet.Slice{"s": list}, fencesAfter(&fleet.Record{LastFence: slices}), usualHold)
+	k := newLeaseTable(map[string][]fleet.Slice{"s": list}, fencesAfter(&fleet.Record{LastFence: slices}), defaultLeaseDuration)
 	now := time.Now()
 	renewed := map[uint64]time.Time{}
 	answer := func(tasks []task) {
 		for _, due := range tasks {
 			if last, known := renewed[due.fence]; known {
-				assert.Assert(t, now.Sub(last) < usualHold/2, "a grant was renewed after %s", now.Sub(last))
+				assert.Assert(t, now.Sub(last) < defaultLeaseDuration/2, "a grant was renewed after %s", now.Sub(last))
 			}
 			renewed[due.fence] = now
-			k.granted(due, true, now)
+			k.grantDone(due, true, now)
 		}
 	}
-	answer(k.due(now, 0))
+	answer(k.dueTasks(now, 0))
 	most := 0
 	for range 200 {
 		now = now.Add(tickEvery)
-		tasks := k.due(now, 0)
+		tasks := k.dueTasks(now, 0)
 		most = max(most, len(tasks))
 		answer(tasks)
 	}
 	assert.Equal(t, len(renewed), slices)
-	assert.Assert(t, most <= renewalsAtOnce, "%d renewals at once", most)
+	assert.Assert(t, most <= maxParallelRenewals, "%d renewals at once", most)
 
 	// Renewals without an answer do not block those that are overdue.
-	now = now.Add(renewEvery + renewSlack)
-	assert.Equal(t, len(k.due(now, 0)), slices)
+	now = now.Add(renewInterval + maxRenewalDelay)
+	assert.Equal(t, len(k.dueTasks(now, 0)), slices)
 }
 
 // TestNextLifeMayHoldGrants: grants that were sent to a former incarnation of a target may
@@ -323,16 +323,16 @@
 func TestNextLifeMayHoldGrants(t *testing.T) {
 	former, present := fleet.Life{ID: "a", Born: 1}, fleet.Life{ID: "a", Born: 2}
 	slice := fleet.Slice{First: 0, Last: 9, Owner: former, Fence: 1}
-	k := newKeeper(map[string][]fleet.Slice{"s": {slice}}, fencesAfter(&fleet.Record{LastFence: 1}), usualHold)
-	k.alone = true
+	k := newLeaseTable(map[string][]fleet.Slice{"s": {slice}}, fencesAfter(&fleet.Record{LastFence: 1}), defaultLeaseDuration)
+	k.soleLeader = true
 	now := time.Now()
 	grant := task{order: order{"s", 1, 0, former, false}, slice: slice}
-	k.granted(grant, true, now)
-	k.startedAgain(former, present, now)
-	assert.Assert(t, k.mayHold(present, now.Add(usualHold)))
-	assert.Assert(t, !k.mayHold(present, now.Add(2*usualHold)))
-	k.granted(grant, false, now.Add(usualHold))
-	assert.Assert(t, k.mayHold(present, now.Add(2*usualHold)))
+	k.grantDone(grant, true, now)
+	k.markRestarted(former, present, now)
+	assert.Assert(t, k.mayHold(present, now.Add(defaultLeaseDuration)))
+	assert.Assert(t, !k.mayHold(present, now.Add(2*defaultLeaseDuration)))
+	k.grantDone(grant, false, now.Add(defaultLeaseDuration))
+	assert.Assert(t, k.mayHold(present, now.Add(2*defaultLeaseDuration)))
 }
 
 // TestLostRenewalsOfAnEndedTargetHoldNothing: a renewal without an answer was sent to the
@@ -341,12 +341,12 @@
 	for _, again := range []bool{true, false} {
 		asked := time.Now()
 		life := fleet.Life{ID: "a", Born: 1}
-		k := newKeeper(map[string][]fleet.Slice{"s": {{Last: 65535, Owner: life}}}, fencesAfter(&fleet.Record{}), usualHold)
-		k.formerEnded(asked.Add(-time.Minute))
-		due := k.due(asked, 0)[0]
-		due.again = again
-		k.granted(due, false, asked.Add(time.Millisecond))
-		k.ended(life, asked)
+		k := newLeaseTable(map[string][]fleet.Slice{"s": {{Last: 65535, Owner: life}}}, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
+		k.setSoleLeader(asked.Add(-time.Minute))
+		due := k.dueTasks(asked, 0)[0]
+		due.fenceSent = again
+		k.grantDone(due, false, asked.Add(time.Millisecond))
+		k.markEnded(life, asked)
 		assert.Equal(t, k.mayHold(life, asked.Add(time.Second)), !again)
 	}
 }
@@ -356,17 +356,17 @@
 func TestFirstGrantUnderWayIsHeld(t *testing.T) {
 	now := time.Now()
 	former, next := fleet.Life{ID: "b", Born: 1}, fleet.Life{ID: "c", Born: 1}
-	k := newKeeper(map[string][]fleet.Slice{"s": {{First: 0, Last: 65535, Owner: former}}}, fencesAfter(&fleet.Record{}), usualHold)
-	k.formerEnded(now.Add(-time.Minute))
-	tasks := k.due(now, 0)
+	k := newLeaseTable(map[string][]fleet.Slice{"s": {{First: 0, Last: 65535, Owner: former}}}, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
+	k.setSoleLeader(now.Add(-time.Minute))
+	tasks := k.dueTasks(now, 0)
 	assert.Equal(t, len(tasks), 1)
 	first := k.fences.next
-	list := keyspace.Apply(k.slices["s"], []keyspace.Move{{First: 0, Last: 65535, To: next}}, k.fences.plan)
-	k.begin("s", list, fences{first, k.fences.next - 1})
-	assert.Equal(t, len(k.expire(now)), 0)
-	k.granted(tasks[0], false, now.Add(grantTimeout))
-	assert.Equal(t, len(k.expire(now.Add(grantTimeout+usualHold))), 0)
-	assert.Equal(t, len(k.expire(now.Add(grantTimeout+2*usualHold))), 1)
+	list := keyspace.Apply(k.slices["s"], []keyspace.Move{{First: 0, Last: 65535, To: next}}, k.fences.allocate)
+	k.applyMoves("s", list, fenceRange{first, k.fences.next - 1})
+	assert.Equal(t, len(k.expireFormerOwners(now)), 0)
+	k.grantDone(tasks[0], false, now.Add(grantTimeout))
+	assert.Equal(t, len(k.expireFormerOwners(now.Add(grantTimeout+defaultLeaseDuration))), 0)
+	assert.Equal(t, len(k.expireFormerOwners(now.Add(grantTimeout+2*defaultLeaseDuration))), 1)
 }
 
 // keptSender records the messages that are sent, without encoding them.
--- a/internal/process/coordinator/record.go
+++ b/internal/process/coordinator/record.go
@@ -89,7 +89,7 @@
 		return
 	}
 	l.superseded = true
-	l.keeper.formerEnded(now.Add(authority))
+	l.keeper.setSoleLeader(now.Add(authority))
 }
 
 // noteStore tells the others when the store is lost or regained.
@@ -142,7 +142,7 @@
 				l.record, l.revision, l.confirmedAt = record, version, began
 				l.confirmedMembers = len(l.members)
 				l.keeper.fences.last = record.LastFence
-				l.keeper.forgetFormer()
+				l.keeper.prune()
 				l.touchAt = time.Now().Add(touchEvery)
 			}
 			done(err)
--- a/internal/process/coordinator/witness.go
+++ b/internal/process/coordinator/witness.go
@@ -123,7 +123,7 @@
 				Str("failure_domain", domain).Strs("near", w.near).Strs("far", w.far).Bool("self_near", w.selfNear).
 				Bool("ended", ended).Int("running", observed.Running).Send()
 			if ended && observed.Running == 0 {
-				l.keeper.ended(life, asked)
+				l.keeper.markEnded(life, asked)
 				c.slicesChangedSoon()
 			}
 		})
