--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// planEvery is the interval between plans of key moves.
-	planEvery = 250 * time.Millisecond
-	// tidyEvery is the interval at which slices with little load are joined.
-	tidyEvery = time.Second
+	// planInterval is the interval between plans of key moves.
+	planInterval = 250 * time.Millisecond
+	// tidyInterval is the interval at which slices with little load are joined.
+	tidyInterval = time.Second
 	// grantTimeout bounds a grant. releaseTimeout bounds a release, which waits for
 	// running requests on the keys.
 	grantTimeout   = 600 * time.Millisecond
 	releaseTimeout = 4 * time.Second
-	// coldCapacity is the capacity of a cold target as a share of a warm one's.
-	coldCapacity = 0.4
-	// minCapacity is the least capacity of a usable target, as a share of its slots. It
+	// coldCapacityShare is the capacity of a cold target as a share of a warm one's.
+	coldCapacityShare = 0.4
+	// minCapacityShare is the least capacity of a usable target, as a share of its slots. It
 	// leaves a slow target some keys, so that its speed is still measured.
-	minCapacity = 0.05
-	// refenceAfter is how long a slice must have been ready before its owner's refusal of
+	minCapacityShare = 0.05
+	// minReadyTime is how long a slice must have been ready before its owner's refusal of
 	// a request counts. Requests that were sent before the slice was ready may arrive
 	// until then.
-	refenceAfter = 500 * time.Millisecond
-	// confirmedReports is the maximum age, in report intervals, of a confirmation of the
+	minReadyTime = 500 * time.Millisecond
+	// maxConfirmationReports is the maximum age, in report intervals, of a confirmation of the
 	// leader for a replacement fence to be sent. Without the store, the leader is
 	// confirmed by the reports of VMs, which are usually up to this old.
-	confirmedReports = 2
-	// settle is how long a new leader waits for the declarations to arrive before it
+	maxConfirmationReports = 2
+	// declarationWait is how long a new leader waits for the declarations to arrive before it
 	// takes keys from targets that are not declared.
-	settle = 300 * time.Millisecond
+	declarationWait = 300 * time.Millisecond
 )
 
-// keepKeys expires leases, plans moves and sends the orders that are due.
-func (c *Coordinator) keepKeys(now time.Time) {
+// manageKeys expires leases, plans moves and sends the orders that are due.
+func (c *Coordinator) manageKeys(now time.Time) {
 	l := c.lead
 	if c.view.Config == nil || !c.observer.Complete() {
 		return
@@ -53,31 +53,31 @@
 		events.GrantsRanOut.Log(c.config.Logger).Int("first", int(s.First)).Int("last", int(s.Last)).Uint64("fence", s.Fence).Send()
 	}
 	if l.keeper.expireReady(now) {
-		c.slicesChanged()
+		c.publishSlices()
 	}
 	if !l.writing && !now.Before(l.planAt) {
 		c.planMoves(now)
 	}
-	c.carryOutDue(now)
+	c.sendDueOrders(now)
 }
 
-// carryOutDue sends the orders that are due.
-func (c *Coordinator) carryOutDue(now time.Time) {
+// sendDueOrders sends the orders that are due.
+func (c *Coordinator) sendDueOrders(now time.Time) {
 	k, confirmed := c.lead.keeper, time.Duration(0)
 	if len(k.minConfirmedUptime) > 0 {
-		confirmed = c.confirmedLately()
+		confirmed = c.recentlyConfirmedAt()
 	}
 	for _, t := range k.dueTasks(now, confirmed) {
-		c.carryOut(t)
+		c.sendOrder(t)
 	}
 }
 
-// confirmedLately returns the uptime at which this VM was last confirmed as the leader, or
+// recentlyConfirmedAt returns the uptime at which this VM was last confirmed as the leader, or
 // 0 if that is too long ago. An answer of the store may arrive so late that another leader
 // has moved keys in the meantime.
-func (c *Coordinator) confirmedLately() time.Duration {
+func (c *Coordinator) recentlyConfirmedAt() time.Duration {
 	at := c.confirmedAt()
-	if c.config.Uptime()-at > confirmedReports*c.reportInterval() {
+	if c.config.Uptime()-at > maxConfirmationReports*c.reportInterval() {
 		return 0
 	}
 	return at
@@ -87,10 +87,10 @@
 // them, once the declarations have had time to arrive.
 func (c *Coordinator) planMoves(now time.Time) {
 	l := c.lead
-	if now.Sub(l.since) <= settle {
+	if now.Sub(l.since) <= declarationWait {
 		return
 	}
-	l.planAt = now.Add(planEvery)
+	l.planAt = now.Add(planInterval)
 	for i := range c.view.Config.Services {
 		service := &c.view.Config.Services[i]
 		if !service.Keyed {
@@ -115,7 +115,7 @@
 // be joined.
 func (l *leadership) plan(current []fleet.Slice, owners []keyspace.Owner, load *keyspace.Load, now time.Time) []keyspace.Move {
 	if !now.Before(l.tidyAt) {
-		l.tidyAt = now.Add(tidyEvery)
+		l.tidyAt = now.Add(tidyInterval)
 		if moves := keyspace.Tidy(current, owners, load); len(moves) > 0 {
 			return moves
 		}
@@ -148,9 +148,9 @@
 	}
 	capacity *= 1 - observed.FailureShare
 	if now.Before(t.ColdUntil) {
-		capacity *= coldCapacity
+		capacity *= coldCapacityShare
 	}
-	return max(capacity, minCapacity*float64(t.Slots))
+	return max(capacity, minCapacityShare*float64(t.Slots))
 }
 
 // writeMoves writes moves to the record and starts them once they are written.
@@ -178,8 +178,8 @@
 	}
 	l.keeper.applyMoves(service, l.record.Slices[service], planned)
 	c.noteLives(c.view.Targets, time.Now())
-	c.slicesChanged()
-	c.carryOutDue(time.Now())
+	c.publishSlices()
+	c.sendDueOrders(time.Now())
 }
 
 // applyMoves replaces the slices of a service with those that were written to the record.
@@ -202,15 +202,15 @@
 			continue
 		}
 		if known := fleet.Find(live, s.First); known != nil && known.Owner == s.Owner {
-			k.adoptProgress(s, known)
+			k.copyProgress(s, known)
 		}
 	}
 	k.prune()
 }
 
-// adoptProgress copies the current state of a slice to its written form, or to a part
+// copyProgress copies the current state of a slice to its written form, or to a part
 // of the slice.
-func (k *leaseTable) adoptProgress(s, known *fleet.Slice) {
+func (k *leaseTable) copyProgress(s, known *fleet.Slice) {
 	s.Fence, s.From, s.Ready = known.Fence, known.From, known.Ready
 	if at, confirmed := k.confirmedAt[idOf(known)]; confirmed {
 		k.confirmedAt[idOf(s)] = at
@@ -218,8 +218,8 @@
 	}
 }
 
-// slicesChanged publishes the current owners of keys.
-func (c *Coordinator) slicesChanged() {
+// publishSlices publishes the current owners of keys.
+func (c *Coordinator) publishSlices() {
 	l := c.lead
 	view := *c.view
 	view.Slices = map[string][]fleet.Slice{}
@@ -230,8 +230,8 @@
 	c.publish(&view)
 }
 
-// carryOut sends an order to a target in the background.
-func (c *Coordinator) carryOut(t task) {
+// sendOrder sends an order to a target in the background.
+func (c *Coordinator) sendOrder(t task) {
 	l := c.lead
 	known := c.view.Targets[t.target.ID]
 	if known == nil || known.Life != t.target || !c.mayAct() {
@@ -242,7 +242,7 @@
 	to := *known
 	go func() {
 		began := time.Now()
-		handover, err := c.send(l.orders, t, to)
+		handover, err := c.callTarget(l.orders, t, to)
 		c.config.Loop.Post(func() {
 			if c.lead == l {
 				c.orderDone(t, handover, err, began)
@@ -251,9 +251,9 @@
 	}()
 }
 
-// send sends an order and waits for its result. For a release it returns the former
+// callTarget sends an order and waits for its result. For a release it returns the former
 // owner's handover text. It runs outside the loop.
-func (c *Coordinator) send(ctx context.Context, t task, to fleet.Target) (string, error) {
+func (c *Coordinator) callTarget(ctx context.Context, t task, to fleet.Target) (string, error) {
 	if t.release {
 		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
@@ -261,21 +261,23 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	return "", c.config.Targets.Grant(ctx, to, t.slice, t.fenceSent, c.hold(), t.handover)
+	return "", c.config.Targets.Grant(ctx, to, t.slice, t.fenceSent, c.leaseDuration(), t.handover)
 }
 
-// hold returns how long a grant lasts.
-func (c *Coordinator) hold() time.Duration { return min(defaultLeaseDuration, c.config.LongestHold) }
+// leaseDuration returns how long a grant lasts.
+func (c *Coordinator) leaseDuration() time.Duration {
+	return min(defaultLeaseDuration, c.config.LongestHold)
+}
 
 // orderDone handles the result of an order that was sent at began.
 func (c *Coordinator) orderDone(t task, handover string, err error, began time.Time) {
 	k := c.lead.keeper
 	now := time.Now()
-	changed, higher := false, uint64(0)
+	changed, newFence := false, uint64(0)
 	switch {
 	case fault.Is(err, fault.NotFound):
 		k.orderFailed(t, now)
-		c.confirmEnd(t.target)
+		c.checkTargetEnded(t.target)
 	case fault.Is(err, fault.Refused):
 		// Another process listens at the target's address, so the target has ended.
 		k.orderFailed(t, now)
@@ -291,21 +293,21 @@
 		if refused && k.provesNewerLeader(t) {
 			c.lead.outdone(c.config.Uptime())
 		}
-		higher = k.handleConflict(t, refused, now, c.config.Uptime())
-		changed = higher != 0
+		newFence = k.handleConflict(t, refused, now, c.config.Uptime())
+		changed = newFence != 0
 	default:
 		changed = k.grantDone(t, err == nil, now)
 	}
-	c.logOrder(t, err, now.Sub(began), changed, higher)
+	c.logOrder(t, err, now.Sub(began), changed, newFence)
 	if changed {
-		c.slicesChangedSoon()
+		c.publishSlicesSoon()
 	}
 }
 
-// slicesChangedSoon publishes the owners of keys and sends the orders that are due, after
+// publishSlicesSoon publishes the owners of keys and sends the orders that are due, after
 // the results that are already queued on the loop. Many moves complete together, and for
 // each view the broker examines all waiting requests.
-func (c *Coordinator) slicesChangedSoon() {
+func (c *Coordinator) publishSlicesSoon() {
 	l := c.lead
 	if l.slicesPending {
 		return
@@ -316,14 +318,14 @@
 		if c.lead != l {
 			return
 		}
-		c.slicesChanged()
-		c.carryOutDue(time.Now())
+		c.publishSlices()
+		c.sendDueOrders(time.Now())
 	})
 }
 
 // logOrder logs the result of an order, except for renewals that changed nothing. higher
 // is the new fence that the slice was assigned, or 0.
-func (c *Coordinator) logOrder(t task, err error, took time.Duration, changed bool, higher uint64) {
+func (c *Coordinator) logOrder(t task, err error, took time.Duration, changed bool, newFence uint64) {
 	if err == nil && !changed && !t.release {
 		return
 	}
@@ -332,8 +334,8 @@
 		kind = "release"
 	}
 	line := events.OrderDone.Log(c.config.Logger)
-	if higher != 0 {
-		line = line.Uint64("fence_next", higher)
+	if newFence != 0 {
+		line = line.Uint64("fence_next", newFence)
 	}
 	line.Str("order", kind).Str("service", t.service).Str("target", t.target.ID).
 		Int("first", int(t.slice.First)).Int("last", int(t.slice.Last)).Uint64("fence", t.fence).
@@ -349,11 +351,11 @@
 		return
 	}
 	s := fleet.Find(l.keeper.slices[service], key)
-	if s == nil || s.Owner != life || !s.Ready || time.Since(l.keeper.readySince[idOf(s)]) < refenceAfter {
+	if s == nil || s.Owner != life || !s.Ready || time.Since(l.keeper.readySince[idOf(s)]) < minReadyTime {
 		return
 	}
 	if l.keeper.refence(s, c.config.Uptime()) {
 		s.Ready = false
-		c.slicesChangedSoon()
+		c.publishSlicesSoon()
 	}
 }
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -104,7 +104,7 @@
 				events.TakeoverFailed.Log(c.config.Logger).Uint64("term", record.Term).Str("reason", why).Err(err).Send()
 				return
 			}
-			c.lead = newLeadership(record, version, given, formerEnded, c.view, c.hold(), time.Now())
+			c.lead = newLeadership(record, version, given, formerEnded, c.view, c.leaseDuration(), time.Now())
 			c.lead.orders, c.lead.stop = context.WithCancel(c.ctx)
 			c.lead.confirmedAt, c.lead.tickedAt = began, c.config.Uptime()
 			c.beginLeading(why, former)
@@ -144,7 +144,7 @@
 		c.observer.Start(c.ctx, c.storeFailedAt)
 	}
 	// The own view goes its own ways from here on.
-	l.parts.adopt(c.view, c.have)
+	l.parts.adoptLists(c.view, c.have)
 	c.have = &peerv1.PartVersions{}
 	l.keeper.adoptReady(c.view.Slices, time.Now())
 	c.config.AdoptRepeats(repeatsFromWire(c.repeats), c.heardAt)
@@ -152,7 +152,7 @@
 	view := *c.view
 	view.Term, view.Leader = l.record.Term, c.config.Self
 	c.publish(&view)
-	c.slicesChanged()
+	c.publishSlices()
 	l.declarationsChanged = true
 	c.leadTick(time.Now())
 	c.pushAll()
@@ -192,7 +192,7 @@
 	if !l.pushAt.IsZero() && !now.Before(l.pushAt) {
 		c.pushAll()
 	}
-	c.keepKeys(now)
+	c.manageKeys(now)
 }
 
 // publishDeclared passes on what the watches have brought.
--- a/internal/process/coordinator/listpart.go
+++ b/internal/process/coordinator/listpart.go
@@ -11,78 +11,78 @@
 )
 
 const (
-	// keptLists is the number of recent lists that can be the base of a difference. A VM
+	// maxBases is the number of recent lists that can be the base of a difference. A VM
 	// that has an older one is sent the full list.
-	keptLists = 32
-	// partAge is how long an encoded list is reused. It is short because the times in a
+	maxBases = 32
+	// maxPartAge is how long an encoded list is reused. It is short because the times in a
 	// list are relative to its encoding.
-	partAge = 100 * time.Millisecond
-	// compressAbove is the size in bytes above which a body is compressed.
-	compressAbove = 1 << 10
-	// largestBody is the maximum size of a decompressed body in bytes.
-	largestBody = 16 << 20
+	maxPartAge = 100 * time.Millisecond
+	// compressAboveBytes is the size in bytes above which a body is compressed.
+	compressAboveBytes = 1 << 10
+	// maxPartBytes is the maximum size of a decompressed body in bytes.
+	maxPartBytes = 16 << 20
 )
 
 // listPart is a part of the state of which a VM is sent the difference to the list that
 // it has. Encoded differences are shared by all VMs that have the same list.
 type listPart[T any] struct {
-	present T
+	current T
 	digest  uint64
-	// former are the recent lists by digest, including the present one; order has their
+	// bases are the recent lists by digest, including the present one; order has their
 	// digests, the oldest first.
-	former map[uint64]T
-	order  []uint64
+	bases     map[uint64]T
+	baseOrder []uint64
 	// encoded are the encoded differences by the digest of their base. They are no older
 	// than encodedAt.
 	encoded   map[uint64]*peerv1.Part
 	encodedAt time.Time
-	// difference returns the changes from former to present. former is the zero value
+	// diff returns the changes from former to present. former is the zero value
 	// for a VM without a list.
-	difference func(former, present T, now time.Time) proto.Message
+	diff func(former, present T, now time.Time) proto.Message
 }
 
 func newListPart[T any](difference func(former, present T, now time.Time) proto.Message) listPart[T] {
-	return listPart[T]{former: map[uint64]T{}, encoded: map[uint64]*peerv1.Part{}, difference: difference}
+	return listPart[T]{bases: map[uint64]T{}, encoded: map[uint64]*peerv1.Part{}, diff: difference}
 }
 
 // set replaces the present list.
 func (p *listPart[T]) set(list T, digest uint64) {
-	p.present = list
+	p.current = list
 	if digest == p.digest {
 		return
 	}
 	p.digest = digest
-	if _, again := p.former[digest]; !again {
-		p.order = append(p.order, digest)
+	if _, known := p.bases[digest]; !known {
+		p.baseOrder = append(p.baseOrder, digest)
 	}
-	p.former[digest] = list
-	if len(p.order) > keptLists {
-		delete(p.former, p.order[0])
-		p.order = p.order[1:]
+	p.bases[digest] = list
+	if len(p.baseOrder) > maxBases {
+		delete(p.bases, p.baseOrder[0])
+		p.baseOrder = p.baseOrder[1:]
 	}
 	clear(p.encoded)
 }
 
 // has reports whether the list with a digest can be the base of a difference.
 func (p *listPart[T]) has(digest uint64) bool {
-	_, known := p.former[digest]
+	_, known := p.bases[digest]
 	return known
 }
 
 // since returns the difference for a VM that has the list with the given digest, or the
 // full list if there is no difference to that.
 func (p *listPart[T]) since(have uint64, now time.Time) *peerv1.Part {
-	if now.Sub(p.encodedAt) > partAge {
+	if now.Sub(p.encodedAt) > maxPartAge {
 		clear(p.encoded)
 		p.encodedAt = now
 	}
-	former, known := p.former[have]
+	base, known := p.bases[have]
 	if !known {
 		have = 0
 	}
 	part := p.encoded[have]
 	if part == nil {
-		part = encodePart(p.difference(former, p.present, now))
+		part = encodePart(p.diff(base, p.current, now))
 		part.Base = have
 		p.encoded[have] = part
 	}
@@ -102,7 +102,7 @@
 
 // partOf returns a part with the given body, which is compressed if it is large.
 func partOf(body []byte) *peerv1.Part {
-	if len(body) <= compressAbove {
+	if len(body) <= compressAboveBytes {
 		return &peerv1.Part{Body: body}
 	}
 	return &peerv1.Part{Body: s2.EncodeBetter(nil, body), Compressed: true}
@@ -123,8 +123,8 @@
 		return part.Body, nil
 	}
 	size, err := s2.DecodedLen(part.Body)
-	if err == nil && size > largestBody {
-		return nil, fault.New(fault.Invalid, "run the same release on all VMs", "a part of %d bytes is above the limit of %d", size, largestBody)
+	if err == nil && size > maxPartBytes {
+		return nil, fault.New(fault.Invalid, "run the same release on all VMs", "a part of %d bytes is above the limit of %d", size, maxPartBytes)
 	}
 	var body []byte
 	if err == nil {
--- a/internal/process/coordinator/member.go
+++ b/internal/process/coordinator/member.go
@@ -274,7 +274,7 @@
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			return false, false
 		}
-		return c.portClosed(leader.Address, c.witnessesOf(leader.FailureDomain, known, leader.VM)), false
+		return c.portClosed(leader.Address, c.chooseWitnesses(leader.FailureDomain, known, leader.VM)), false
 	}
 	incarnation := reply.GetIncarnation()
 	replaced = incarnation != "" && incarnation != leader.Incarnation
--- a/internal/process/coordinator/parts.go
+++ b/internal/process/coordinator/parts.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// detailPause is the minimum time between two messages to one VM with the owners of
+	// detailInterval is the minimum time between two messages to one VM with the owners of
 	// keys or the list of VMs. largePause is the same in a large fleet. The broker
 	// learns of new owners at once; other VMs use them only while they cannot reach it.
-	detailPause = time.Second
-	largePause  = 2 * time.Second
-	// slicesAge is the minimum time between two versions of the slices. keptLists
+	detailInterval           = time.Second
+	largeFleetDetailInterval = 2 * time.Second
+	// sliceVersionInterval is the minimum time between two versions of the slices. keptLists
 	// versions must span more than largePause, so that a VM's version is still a base
 	// for differences.
-	slicesAge = 250 * time.Millisecond
+	sliceVersionInterval = 250 * time.Millisecond
 )
 
 // parts holds the leader's state in the form in which it is sent to the other VMs. Each
@@ -34,12 +34,12 @@
 	slices  listPart[sliceSet]
 	members listPart[memberSet]
 
-	// owned are the latest slices; newOwned is set if they are not in the slices part
+	// latestSlices are the latest slices; newOwned is set if they are not in the slices part
 	// yet. They change with every confirmed grant, so they become a new version of the
 	// part only if the last one, made at slicesSet, is older than slicesAge.
-	owned     sliceSet
-	newOwned  bool
-	slicesSet time.Time
+	latestSlices  sliceSet
+	slicesPending bool
+	slicesSetAt   time.Time
 }
 
 type (
@@ -61,9 +61,9 @@
 	}
 }
 
-// adopt starts from the lists that this VM received from the former leader, under their
+// adoptLists starts from the lists that this VM received from the former leader, under their
 // digests there. Other VMs have the same lists and receive changes as differences to them.
-func (p *parts) adopt(view *fleet.View, have *peerv1.PartVersions) {
+func (p *parts) adoptLists(view *fleet.View, have *peerv1.PartVersions) {
 	if have.Targets != 0 {
 		p.targets.set(targetSet{view.Targets, view.Evacuated}, have.Targets)
 	}
@@ -77,9 +77,9 @@
 
 // versions returns the current version of each part.
 func (p *parts) versions(now time.Time) *peerv1.PartVersions {
-	if p.newOwned && now.Sub(p.slicesSet) >= slicesAge {
-		p.newOwned, p.slicesSet = false, now
-		p.slices.set(p.owned, digestSlices(p.owned))
+	if p.slicesPending && now.Sub(p.slicesSetAt) >= sliceVersionInterval {
+		p.slicesPending, p.slicesSetAt = false, now
+		p.slices.set(p.latestSlices, digestSlices(p.latestSlices))
 	}
 	return &peerv1.PartVersions{
 		Config: p.configVersion, Targets: p.targets.digest, Slices: p.slices.digest, Members: p.members.digest,
@@ -97,7 +97,7 @@
 	p.targets.set(targetSet{targets, evacuated}, digestTargets(targets, evacuated))
 }
 
-func (p *parts) setSlices(services sliceSet) { p.owned, p.newOwned = services, true }
+func (p *parts) setSlices(services sliceSet) { p.latestSlices, p.slicesPending = services, true }
 
 func (p *parts) setMembers(members map[string]fleet.Member, brokers map[string]string) {
 	p.members.set(memberSet{members, brokers}, digestMembers(members, brokers))
@@ -106,14 +106,14 @@
 // digest computes a hash of a sequence of values.
 type digest struct{ hash xxh3.Hasher }
 
-func (d *digest) text(values ...string) {
+func (d *digest) addText(values ...string) {
 	for _, value := range values {
-		d.number(uint64(len(value)))
+		d.addNumbers(uint64(len(value)))
 		_, _ = d.hash.WriteString(value)
 	}
 }
 
-func (d *digest) number(values ...uint64) {
+func (d *digest) addNumbers(values ...uint64) {
 	var buffer [8]byte
 	for _, value := range values {
 		binary.LittleEndian.PutUint64(buffer[:], value)
@@ -121,12 +121,12 @@
 	}
 }
 
-func (d *digest) flags(values ...bool) {
+func (d *digest) addFlags(values ...bool) {
 	for _, value := range values {
 		if value {
-			d.number(1)
+			d.addNumbers(1)
 		} else {
-			d.number(0)
+			d.addNumbers(0)
 		}
 	}
 }
@@ -138,22 +138,22 @@
 	d := &digest{}
 	for _, id := range slices.Sorted(maps.Keys(targets)) {
 		t := targets[id]
-		d.text(t.ID, t.Service, t.Address, t.FailureDomain)
-		d.number(uint64(t.Born), uint64(t.Slots))
-		d.flags(t.Leaving)
+		d.addText(t.ID, t.Service, t.Address, t.FailureDomain)
+		d.addNumbers(uint64(t.Born), uint64(t.Slots))
+		d.addFlags(t.Leaving)
 	}
-	d.text(slices.Sorted(maps.Keys(evacuated))...)
+	d.addText(slices.Sorted(maps.Keys(evacuated))...)
 	return d.sum()
 }
 
 func digestSlices(services map[string][]fleet.Slice) uint64 {
 	d := &digest{}
 	for _, service := range slices.Sorted(maps.Keys(services)) {
-		d.text(service)
+		d.addText(service)
 		for _, s := range services[service] {
-			d.text(s.Owner.ID)
-			d.number(uint64(s.First), uint64(s.Last), uint64(s.Owner.Born))
-			d.flags(s.Ready)
+			d.addText(s.Owner.ID)
+			d.addNumbers(uint64(s.First), uint64(s.Last), uint64(s.Owner.Born))
+			d.addFlags(s.Ready)
 		}
 	}
 	return d.sum()
@@ -162,10 +162,10 @@
 func digestMembers(members map[string]fleet.Member, brokers map[string]string) uint64 {
 	d := &digest{}
 	for _, vm := range slices.Sorted(maps.Keys(members)) {
-		d.text(vm, members[vm].Incarnation, members[vm].Address)
+		d.addText(vm, members[vm].Incarnation, members[vm].Address)
 	}
 	for _, service := range slices.Sorted(maps.Keys(brokers)) {
-		d.text(service, brokers[service])
+		d.addText(service, brokers[service])
 	}
 	return d.sum()
 }
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -104,7 +104,7 @@
 	p := newParts()
 	publish := func(set sliceSet) {
 		p.setSlices(set)
-		now = now.Add(slicesAge)
+		now = now.Add(sliceVersionInterval)
 		p.versions(now)
 	}
 	present := manySlices(3000)
@@ -162,8 +162,8 @@
 		now = now.Add(time.Millisecond)
 		versions[p.versions(now).Slices] = true
 	}
-	assert.Assert(t, len(versions) <= int(time.Second/slicesAge)+1, "%d versions", len(versions))
-	assert.Equal(t, p.versions(now.Add(slicesAge)).Slices, digestSlices(present))
+	assert.Assert(t, len(versions) <= int(time.Second/sliceVersionInterval)+1, "%d versions", len(versions))
+	assert.Equal(t, p.versions(now.Add(sliceVersionInterval)).Slices, digestSlices(present))
 }
 
 // TestMembersTravelAsDifferences: VMs that join or leave are sent as a small message too.
@@ -195,12 +195,12 @@
 	part := p.targets.since(12345, time.Now())
 	assert.Equal(t, part.Base, uint64(0))
 	assert.Equal(t, len(received(t, part, &peerv1.TargetList{}).Targets), 5)
-	for range keptLists {
+	for range maxBases {
 		targets = changed(targets, "i-00000001", func(t *fleet.Target) { t.Born++ })
 		p.setTargets(targets, nil)
 	}
 	assert.Equal(t, p.targets.since(first, time.Now()).Base, uint64(0))
-	assert.Equal(t, len(p.targets.former), keptLists)
+	assert.Equal(t, len(p.targets.bases), maxBases)
 }
 
 // TestLargePartsAreCompressed: full lists of a large fleet, which are sent to every VM that
@@ -216,7 +216,7 @@
 	damaged := &peerv1.Part{Body: part.Body[:len(part.Body)/2], Compressed: true}
 	assert.Assert(t, fault.Is(decodePart(damaged, &peerv1.TargetList{}), fault.Invalid))
 	assert.Assert(t, fault.Is(decodePart(&peerv1.Part{Body: []byte{0xff}}, &peerv1.TargetList{}), fault.Invalid))
-	huge := &peerv1.Part{Body: binary.AppendUvarint(nil, largestBody+1), Compressed: true}
+	huge := &peerv1.Part{Body: binary.AppendUvarint(nil, maxPartBytes+1), Compressed: true}
 	assert.Assert(t, fault.Is(decodePart(huge, &peerv1.TargetList{}), fault.Invalid))
 }
 
@@ -433,7 +433,7 @@
 		if part := state.Slices; part != nil && (part.Base == 0 || part.Base == have.Slices) {
 			have.Slices = state.Versions.Slices
 			if lost == "slices" && !droppedAt.IsZero() {
-				assert.Assert(t, time.Since(droppedAt) <= listLostAfter+2*detailPause, "after %s", time.Since(droppedAt))
+				assert.Assert(t, time.Since(droppedAt) <= listLostAfter+2*detailInterval, "after %s", time.Since(droppedAt))
 				return
 			}
 		}
--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -96,7 +96,7 @@
 // presentRepeats returns the use of the budgets, not older than partAge.
 func (c *Coordinator) presentRepeats(now time.Time) []*peerv1.ServiceRepeats {
 	l := c.lead
-	if now.Sub(l.repeatsAt) > partAge {
+	if now.Sub(l.repeatsAt) > maxPartAge {
 		l.repeats, l.repeatsAt = repeatsToWire(c.config.Repeats(now)), now
 	}
 	return l.repeats
@@ -107,7 +107,7 @@
 func (c *Coordinator) addParts(state *peerv1.FleetState, m *member, now time.Time) {
 	p := c.lead.parts
 	if m.sent.Config < p.configVersion {
-		m.deliveries.config.begin(m.sent.Config == 0, now)
+		m.deliveries.config.markSent(m.sent.Config == 0, now)
 		state.Config, m.sent.Config = p.config, p.configVersion
 	}
 	m.waits = false
@@ -115,7 +115,7 @@
 		part := p.targets.since(m.sent.Targets, now)
 		if m.waits = part.Base == 0 && !c.mayLoad(m, len(part.Body), now); !m.waits {
 			state.Targets, m.sent.Targets = part, p.targets.digest
-			m.deliveries.targets.begin(part.Base == 0, now)
+			m.deliveries.targets.markSent(part.Base == 0, now)
 		}
 	}
 	if now.Sub(m.detailsAt) < c.detailPause() {
@@ -124,13 +124,13 @@
 	if p.members.digest != 0 && m.sent.Members != p.members.digest {
 		state.Members = p.members.since(m.sent.Members, now)
 		m.sent.Members, m.detailsAt = p.members.digest, now
-		m.deliveries.members.begin(state.Members.Base == 0, now)
+		m.deliveries.members.markSent(state.Members.Base == 0, now)
 	}
 	// Owners of keys are of no use without the targets.
 	if p.slices.digest != 0 && m.sent.Slices != p.slices.digest && !m.waits && m.loadingSince.IsZero() {
 		state.Slices = p.slices.since(m.sent.Slices, now)
 		m.sent.Slices, m.detailsAt = p.slices.digest, now
-		m.deliveries.slices.begin(state.Slices.Base == 0, now)
+		m.deliveries.slices.markSent(state.Slices.Base == 0, now)
 	}
 }
 
@@ -164,9 +164,9 @@
 
 func (c *Coordinator) detailPause() time.Duration {
 	if len(c.lead.members) > largeFleet {
-		return largePause
+		return largeFleetDetailInterval
 	}
-	return detailPause
+	return detailInterval
 }
 
 // handleReport takes in a VM's report and answers with what it lacks.
@@ -193,7 +193,7 @@
 	if report.Term == l.record.Term {
 		m.followedAt = max(m.followedAt, time.Duration(report.HeardMillis)*time.Millisecond)
 	}
-	m.reported(report.Have, c.reportInterval(), now)
+	m.updateDeliveries(report.Have, c.reportInterval(), now)
 	if !m.loadingSince.IsZero() && l.parts.targets.has(report.Have.GetTargets()) {
 		c.loaded(m, now)
 	}
--- a/internal/process/coordinator/witness.go
+++ b/internal/process/coordinator/witness.go
@@ -33,13 +33,13 @@
 	near, far []string
 }
 
-// witnessesOf chooses VMs to ask about a port in a failure domain, other than this VM
+// chooseWitnesses chooses VMs to ask about a port in a failure domain, other than this VM
 // and without.
-func (c *Coordinator) witnessesOf(domain string, known *fleet.View, without string) witnesses {
+func (c *Coordinator) chooseWitnesses(domain string, known *fleet.View, exclude string) witnesses {
 	w := witnesses{selfNear: domain == c.config.Self.FailureDomain}
 	for vm, m := range known.Members {
 		switch {
-		case vm == c.config.Self.VM || vm == without:
+		case vm == c.config.Self.VM || vm == exclude:
 		case m.FailureDomain == domain && len(w.near) < nearWitnesses:
 			w.near = append(w.near, vm)
 		case m.FailureDomain != domain && len(w.far) < farWitnesses:
@@ -98,18 +98,18 @@
 	}}})
 }
 
-// confirmEnd checks whether a target whose port refuses connections has ended. A leaving
+// checkTargetEnded checks whether a target whose port refuses connections has ended. A leaving
 // target closes its port before its last requests have completed. Until they have, it
 // counts as running and its keys are not granted to others, for at most as long as its
 // grants last.
-func (c *Coordinator) confirmEnd(life fleet.Life) {
+func (c *Coordinator) checkTargetEnded(life fleet.Life) {
 	l, target := c.lead, c.view.Targets[life.ID]
 	if target == nil || target.Life != life || l.confirming[life] {
 		return
 	}
 	l.confirming[life] = true
 	asked := time.Now()
-	w, address, domain := c.witnessesOf(target.FailureDomain, c.view, ""), target.Address, target.FailureDomain
+	w, address, domain := c.chooseWitnesses(target.FailureDomain, c.view, ""), target.Address, target.FailureDomain
 	service := target.Service
 	go func() {
 		ended := c.portClosed(address, w)
@@ -124,7 +124,7 @@
 				Bool("ended", ended).Int("running", observed.Running).Send()
 			if ended && observed.Running == 0 {
 				l.keeper.markEnded(life, asked)
-				c.slicesChangedSoon()
+				c.publishSlicesSoon()
 			}
 		})
 	}()
