--- a/internal/process/coordinator/coordinator_test.go
+++ b/internal/process/coordinator/coordinator_test.go
@@ -39,12 +39,12 @@
 func (w *world) servedWithin(limit time.Duration) time.Duration {
 	began := time.Now()
 	for time.Since(began) < limit {
-		if w.held() == sampled {
+		if w.heldCount() == sampled {
 			return time.Since(began)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	w.problem("%d of %d keys are held %s after they should be", w.held(), sampled, limit)
+	w.problem("%d of %d keys are held %s after they should be", w.heldCount(), sampled, limit)
 	return limit
 }
 
@@ -339,7 +339,7 @@
 // takeAddress starts another target at the address of one that has ended, whose
 // entry lapses after the new one has come, and waits until all keys are served.
 func (w *world) takeAddress(id string) {
-	next := w.startAt(id, id+"-next")
+	next := w.startTargetAt(id, id+"-next")
 	time.AfterFunc(1500*time.Millisecond, func() { w.put("servers/"+next.ID, next.Target) })
 	time.AfterFunc(2*time.Second, func() { w.remove("servers/" + id) })
 	w.servedWithin(8 * time.Second)
@@ -372,7 +372,7 @@
 					w.set(func() { w.fencesOfAll = true })
 					w.servedWithin(2 * time.Second)
 					time.Sleep(2 * time.Second)
-					w.fallSilent("t2")
+					w.endSilently("t2")
 					time.Sleep(dark)
 					w.register("t2", next)
 					w.servedWithin(8 * time.Second)
@@ -439,7 +439,7 @@
 
 // register starts a target at a place and registers it once it has run for a while.
 func (w *world) register(place, id string) {
-	next := w.startAt(place, id)
+	next := w.startTargetAt(place, id)
 	time.AfterFunc(1500*time.Millisecond, func() { w.put("servers/"+id, next.Target) })
 	if id != place {
 		time.AfterFunc(2*time.Second, func() { w.remove("servers/" + place) })
@@ -644,17 +644,17 @@
 	case 14:
 		w.endTarget(id)
 		time.AfterFunc(for2s/2, func() {
-			next := w.startAt(id, fmt.Sprintf("%s-%d", id, time.Now().UnixMilli()))
+			next := w.startTargetAt(id, fmt.Sprintf("%s-%d", id, time.Now().UnixMilli()))
 			time.Sleep(500 * time.Millisecond)
 			w.put("servers/"+next.ID, next.Target)
 			time.Sleep(500 * time.Millisecond)
 			w.remove("servers/" + id)
 		})
 	case 15:
-		w.fallSilent(id)
+		w.endSilently(id)
 		time.AfterFunc(for2s/2, func() { w.register(id, fmt.Sprintf("%s-%d", id, time.Now().UnixMilli())) })
 	case 16:
-		w.fallSilent(id)
+		w.endSilently(id)
 		time.AfterFunc(for2s/2, func() { w.register(id, id) })
 	case 17:
 		opening := time.Duration(w.draw(600)) * time.Millisecond
@@ -884,7 +884,7 @@
 		w.set(func() { w.working = map[string]int{"t2": 1} })
 		w.endTarget("t2")
 		time.Sleep(time.Second)
-		w.check(w.held() < sampled, "keys were given away while their target was at work")
+		w.check(w.heldCount() < sampled, "keys were given away while their target was at work")
 		w.set(func() { w.working = nil })
 		w.servedWithin(time.Second)
 	})
--- a/internal/process/coordinator/former_test.go
+++ b/internal/process/coordinator/former_test.go
@@ -26,7 +26,7 @@
 				time.Sleep(500 * time.Millisecond)
 				w.leaveTarget("t2")
 				w.awaitRelease("t2", 3*time.Second)
-				w.startAt("t2", "t2")
+				w.startTargetAt("t2", "t2")
 				time.Sleep(5 * time.Second)
 			})
 		})
@@ -69,7 +69,7 @@
 				w.leaveTarget("t2")
 				time.Sleep(after)
 				w.awaitRelease("t2", 4*time.Second)
-				w.startAt("t2", "t2")
+				w.startTargetAt("t2", "t2")
 				time.Sleep(5 * time.Second)
 			})
 		})
@@ -108,7 +108,7 @@
 				for _, name := range others {
 					w.cutFor(20*time.Second, name+">t2")
 				}
-				second := w.awaitLeaderBesides(first, 3*time.Second)
+				second := w.awaitOtherLeader(first, 3*time.Second)
 				w.leaveTarget("t2")
 				time.Sleep(8 * time.Second)
 				for _, name := range others {
@@ -122,17 +122,17 @@
 	}
 }
 
-// awaitLeaderBesides waits until a VM other than first leads and returns its name.
-func (w *world) awaitLeaderBesides(first string, within time.Duration) string {
+// awaitOtherLeader waits until a VM other than first leads and returns its name.
+func (w *world) awaitOtherLeader(former string, within time.Duration) string {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, n := range w.running() {
 			leads := false
-			if n.name != first && n.loop.Call(func() { leads = n.coordinator.Leads() }) && leads {
+			if n.name != former && n.loop.Call(func() { leads = n.coordinator.Leads() }) && leads {
 				return n.name
 			}
 		}
 	}
-	w.set(func() { w.problem("no VM besides %s leads after %s", first, within) })
+	w.set(func() { w.problem("no VM besides %s leads after %s", former, within) })
 	return ""
 }
 
@@ -153,10 +153,10 @@
 						w.cutBetween(20*time.Second, first, name)
 					}
 				}
-				w.awaitLeaderBesides(first, 4*time.Second)
+				w.awaitOtherLeader(first, 4*time.Second)
 				w.leaveTarget("t2")
 				w.awaitRelease("t2", 4*time.Second)
-				w.startAt("t2", "t2")
+				w.startTargetAt("t2", "t2")
 				time.Sleep(5 * time.Second)
 			})
 		})
@@ -198,10 +198,10 @@
 				w.awaitOpening("t2:1", 2*time.Second)
 				time.Sleep(after)
 				w.nodes[first].loop.Post(w.nodes[first].coordinator.Leave)
-				w.awaitLeaderBesides(first, time.Second)
+				w.awaitOtherLeader(first, time.Second)
 				w.leaveTarget("t2")
 				w.awaitRelease("t2", 4*time.Second)
-				w.startAt("t2", "t2")
+				w.startTargetAt("t2", "t2")
 				time.Sleep(5 * time.Second)
 			})
 		})
@@ -248,33 +248,33 @@
 		w.servedWithin(2 * time.Second)
 		time.Sleep(2 * time.Second)
 		leader, _ := w.leader()
-		alone := ""
+		isolated := ""
 		for _, name := range everybody(5, 0) {
 			if name != leader && domainOf(name) != domainOf(leader) {
-				alone = name
+				isolated = name
 			}
 		}
 		for _, name := range everybody(5, 0) {
-			if name == alone {
+			if name == isolated {
 				continue
 			}
 			w.cutFor(25*time.Second, name+">store")
-			w.cutBetween(25*time.Second, name, alone)
+			w.cutBetween(25*time.Second, name, isolated)
 			for _, id := range everybody(0, 6) {
-				if domainOf(id) == domainOf(alone) {
+				if domainOf(id) == domainOf(isolated) {
 					w.cutFor(25*time.Second, name+">"+id)
 				}
 			}
 		}
-		var beyond []string
+		var unreachable []string
 		for _, id := range everybody(0, 6) {
-			if domainOf(id) != domainOf(alone) {
-				w.cutFor(25*time.Second, alone+">"+id)
-				beyond = append(beyond, id)
+			if domainOf(id) != domainOf(isolated) {
+				w.cutFor(25*time.Second, isolated+">"+id)
+				unreachable = append(unreachable, id)
 			}
 		}
 		time.Sleep(8 * time.Second)
-		for _, id := range beyond {
+		for _, id := range unreachable {
 			w.remove("servers/" + id)
 		}
 		time.Sleep(16 * time.Second)
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -33,8 +33,8 @@
 	return targets
 }
 
-// changed returns a copy of targets in which change was applied to one target.
-func changed(targets map[string]*fleet.Target, id string, change func(*fleet.Target)) map[string]*fleet.Target {
+// withChange returns a copy of targets in which change was applied to one target.
+func withChange(targets map[string]*fleet.Target, id string, change func(*fleet.Target)) map[string]*fleet.Target {
 	next := map[string]*fleet.Target{}
 	for key, t := range targets {
 		next[key] = t
@@ -85,7 +85,7 @@
 	has, _ := applyTargets(received(t, full, &peerv1.TargetList{}), nil, now)
 	base := p.targets.digest
 
-	second := changed(first, "i-00000007", func(t *fleet.Target) { t.Leaving = true })
+	second := withChange(first, "i-00000007", func(t *fleet.Target) { t.Leaving = true })
 	delete(second, "i-00000003")
 	p.setTargets(second, map[string]bool{"b": true})
 	difference := p.targets.since(base, now)
@@ -196,7 +196,7 @@
 	assert.Equal(t, part.Base, uint64(0))
 	assert.Equal(t, len(received(t, part, &peerv1.TargetList{}).Targets), 5)
 	for range maxBases {
-		targets = changed(targets, "i-00000001", func(t *fleet.Target) { t.Born++ })
+		targets = withChange(targets, "i-00000001", func(t *fleet.Target) { t.Born++ })
 		p.setTargets(targets, nil)
 	}
 	assert.Equal(t, p.targets.since(first, time.Now()).Base, uint64(0))
@@ -229,7 +229,7 @@
 	again, evacuated := applyTargets(received(t, a.targets.since(0, now), &peerv1.TargetList{}), nil, now)
 	b.setTargets(again, evacuated)
 	assert.Equal(t, a.targets.digest, b.targets.digest)
-	b.setTargets(changed(again, "i-00000001", func(t *fleet.Target) { t.Born++ }), evacuated)
+	b.setTargets(withChange(again, "i-00000001", func(t *fleet.Target) { t.Born++ }), evacuated)
 	assert.Assert(t, a.targets.digest != b.targets.digest)
 }
 
@@ -369,19 +369,19 @@
 	assert.Equal(t, len(k.expireFormerOwners(now.Add(grantTimeout+2*defaultLeaseDuration))), 1)
 }
 
-// keptSender records the messages that are sent, without encoding them.
-type keptSender struct{ sent []*peerv1.Control }
+// recordingSender records the messages that are sent, without encoding them.
+type recordingSender struct{ sent []*peerv1.Control }
 
-func (s *keptSender) Send(_ string, message *peerv1.Control) { s.sent = append(s.sent, message) }
+func (s *recordingSender) Send(_ string, message *peerv1.Control) { s.sent = append(s.sent, message) }
 
-func (s *keptSender) Call(context.Context, string, *peerv1.Control) (*peerv1.Control, error) {
+func (s *recordingSender) Call(context.Context, string, *peerv1.Control) (*peerv1.Control, error) {
 	return nil, context.Canceled
 }
 
 // TestReportIsNotChangedWhileItIsSent: messages are encoded only after Send has returned, so
 // that later changes must not reach them.
 func TestReportIsNotChangedWhileItIsSent(t *testing.T) {
-	sender := &keptSender{}
+	sender := &recordingSender{}
 	c := &Coordinator{config: Config{Sender: sender}, view: &fleet.View{}, have: &peerv1.PartVersions{Targets: 7}}
 	c.report(time.Now())
 	c.have.Targets = 8
@@ -392,14 +392,14 @@
 // keys change all the time, whether the configuration or the owners were lost.
 func TestLostPartIsSentAgain(t *testing.T) {
 	for _, lost := range []string{"config", "slices"} {
-		synctest.Test(t, func(t *testing.T) { loseOnce(t, lost) })
+		synctest.Test(t, func(t *testing.T) { dropOnce(t, lost) })
 	}
 }
 
-// loseOnce drops one message with a part and checks that the VM has the part within the
+// dropOnce drops one message with a part and checks that the VM has the part within the
 // bound.
-func loseOnce(t *testing.T, lost string) {
-	sender := &keptSender{}
+func dropOnce(t *testing.T, lost string) {
+	sender := &recordingSender{}
 	m := &member{Member: fleet.Member{VM: "b", Incarnation: "1"}}
 	c := &Coordinator{
 		config: Config{Sender: sender, Uptime: func() time.Duration { return 0 }, Repeats: func(time.Time) map[string]admission.RepeatCount { return nil }},
--- a/internal/process/coordinator/target_test.go
+++ b/internal/process/coordinator/target_test.go
@@ -25,16 +25,16 @@
 
 // heldKey is a target's state of a key.
 type heldKey struct {
-	// seen is the highest fence of any order, fence that of the last grant.
-	seen  uint64
-	fence uint64
+	// highestFence is the highest fence of any order, fence that of the last grant.
+	highestFence uint64
+	fence        uint64
 	// until is when the grant expires; zero after a release.
 	until time.Time
 }
 
-// fenced is the highest fence at which a key was granted, and the process that received
+// highestGrant is the highest fence at which a key was granted, and the process that received
 // that grant.
-type fenced struct {
+type highestGrant struct {
 	fence uint64
 	life  fleet.Life
 }
@@ -43,13 +43,13 @@
 const workTime = 60 * time.Millisecond
 
 // startTarget starts and registers a target.
-func (w *world) startTarget(id string) { w.put("servers/"+id, w.startAt(id, id).Target) }
+func (w *world) startTarget(id string) { w.put("servers/"+id, w.startTargetAt(id, id).Target) }
 
-// startAt starts a target without registering it. place gives its address and failure
+// startTargetAt starts a target without registering it. place gives its address and failure
 // domain; another process that runs at the address is ended first.
-func (w *world) startAt(place, id string) *fakeTarget {
+func (w *world) startTargetAt(host, id string) *fakeTarget {
 	target := &fakeTarget{Target: fleet.Target{
-		Life: fleet.Life{ID: id, Born: time.Now().UnixMilli()}, Service: service, Address: place + ":1", FailureDomain: domainOf(place), Slots: 2,
+		Life: fleet.Life{ID: id, Born: time.Now().UnixMilli()}, Service: service, Address: host + ":1", FailureDomain: domainOf(host), Slots: 2,
 	}}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,11 +105,11 @@
 	}
 	if !again {
 		process = nil
-		if w.open(ctx, n.name, to.Address); ctx.Err() != nil {
+		if w.openConnection(ctx, n.name, to.Address); ctx.Err() != nil {
 			return fault.New(fault.UnknownOutcome, "repeat", "no connection")
 		}
 	}
-	return n.order(ctx, to, process, func(target *fakeTarget, arrived time.Time) error {
+	return n.deliver(ctx, to, process, func(target *fakeTarget, arrived time.Time) error {
 		err := w.grant(target, slice, arrived.Add(hold), time.Since(arrived) > 0)
 		if ctx.Err() == nil && err == nil {
 			w.set(func() { n.taken[slice.Fence] = target })
@@ -120,7 +120,7 @@
 
 // Release implements coordinator.Targets.
 func (n *node) Release(ctx context.Context, from fleet.Target, slice fleet.Slice) (string, error) {
-	err := n.order(ctx, from, nil, func(target *fakeTarget, _ time.Time) error {
+	err := n.deliver(ctx, from, nil, func(target *fakeTarget, _ time.Time) error {
 		n.world.release(target, slice)
 		return nil
 	}, func() {})
@@ -130,10 +130,10 @@
 	return "handover", err
 }
 
-// order delivers an order to a target: immediately, late and without an answer, or not at
-// all. If process is not nil, the order goes to it over an open connection, otherwise over
-// a new one to the target's address. lost is called if the order gets no answer.
-func (n *node) order(ctx context.Context, to fleet.Target, process *fakeTarget, apply func(*fakeTarget, time.Time) error, lost func()) error {
+// deliver delivers an deliver to a target: immediately, late and without an answer, or not at
+// all. If process is not nil, the deliver goes to it over an open connection, otherwise over
+// a new one to the target's address. lost is called if the deliver gets no answer.
+func (n *node) deliver(ctx context.Context, to fleet.Target, process *fakeTarget, apply func(*fakeTarget, time.Time) error, lost func()) error {
 	time.Sleep(2 * time.Millisecond)
 	w := n.world
 	address := to.Address
@@ -171,8 +171,8 @@
 	return apply(target, time.Now())
 }
 
-// open waits for as long as it takes to open a connection to an address.
-func (w *world) open(ctx context.Context, from, address string) {
+// openConnection waits for as long as it takes to openConnection a connection to an address.
+func (w *world) openConnection(ctx context.Context, from, address string) {
 	w.mu.Lock()
 	takes := max(w.openings[address], w.openings[from+">"+address])
 	w.opening[address]++
@@ -208,8 +208,8 @@
 	}
 }
 
-// fallSilent ends a target whose address drops packets instead of refusing connections.
-func (w *world) fallSilent(id string) {
+// endSilently ends a target whose address drops packets instead of refusing connections.
+func (w *world) endSilently(id string) {
 	w.set(func() {
 		w.targets[id].end()
 		w.targets[id].silent = true
@@ -225,7 +225,7 @@
 		return fault.New(fault.UnknownOutcome, "repeat", "no answer")
 	}
 	for i := range sampled {
-		if slice.Contains(sample(i)) && target.keys[i].seen > slice.Fence {
+		if slice.Contains(sample(i)) && target.keys[i].highestFence > slice.Fence {
 			return fault.New(fault.Conflict, "use a higher fence", "a higher fence was seen")
 		}
 	}
@@ -237,13 +237,13 @@
 			w.checkFence(i, target, slice.Fence)
 		}
 		held := &target.keys[i]
-		held.seen = max(held.seen, slice.Fence)
+		held.highestFence = max(held.highestFence, slice.Fence)
 		held.fence = slice.Fence
 		if until.After(held.until) {
 			held.until = until
 		}
 		if time.Now().Before(held.until) {
-			w.checkKey(i, target)
+			w.checkNoOtherHolder(i, target)
 		}
 	}
 	return nil
@@ -267,15 +267,15 @@
 	defer w.mu.Unlock()
 	for i := range sampled {
 		if held := &target.keys[i]; slice.Contains(sample(i)) && slice.Fence >= held.fence {
-			held.seen = max(held.seen, slice.Fence)
+			held.highestFence = max(held.highestFence, slice.Fence)
 			held.until = time.Time{}
 		}
 	}
 }
 
-// checkKey checks that no other running target holds a key that was granted to owner, or
+// checkNoOtherHolder checks that no other running target holds a key that was granted to owner, or
 // has had it at the same or a higher fence. The caller holds w.mu.
-func (w *world) checkKey(i int, owner *fakeTarget) {
+func (w *world) checkNoOtherHolder(i int, owner *fakeTarget) {
 	now := time.Now()
 	for id, other := range w.targets {
 		if other == owner || other.ended {
@@ -305,8 +305,8 @@
 	return held
 }
 
-// held returns how many of the sampled keys are held by a running target.
-func (w *world) held() int {
+// heldCount returns how many of the sampled keys are heldCount by a running target.
+func (w *world) heldCount() int {
 	count := 0
 	for _, held := range w.heldKeys() {
 		if held {
--- a/internal/process/coordinator/world_test.go
+++ b/internal/process/coordinator/world_test.go
@@ -73,7 +73,7 @@
 	problems   []string
 	// fencesOfAll extends the check of fences to targets that have ended.
 	fencesOfAll bool
-	fenced      [sampled]fenced
+	fenced      [sampled]highestGrant
 	// history is what happened, to explain problems.
 	history []string
 }
