--- a/internal/process/coordinator/fences.go
+++ b/internal/process/coordinator/fences.go
@@ -48,28 +48,28 @@
 // is not sent before this VM has been confirmed as the leader at or after the given
 // uptime; 0 means that no confirmation is needed. It reports false if no fence is left
 // until the next write of the record.
-func (k *leaseTable) refence(s *fleet.Slice, minConfirmed time.Duration) bool {
-	if k.fences.next > k.fences.last {
+func (lt *leaseTable) refence(s *fleet.Slice, minConfirmed time.Duration) bool {
+	if lt.fences.next > lt.fences.last {
 		return false
 	}
 	old := *s
-	s.Fence = k.fences.allocate()
+	s.Fence = lt.fences.allocate()
 	if minConfirmed != 0 {
-		k.minConfirmedUptime[s.Fence] = minConfirmed
+		lt.minConfirmedUptime[s.Fence] = minConfirmed
 	}
-	if handover, known := k.handovers[old.Fence]; known {
-		k.handovers[s.Fence] = handover
+	if handover, known := lt.handovers[old.Fence]; known {
+		lt.handovers[s.Fence] = handover
 	}
-	rekey(k.confirmedAt, idOf(&old), idOf(s))
-	rekey(k.readySince, idOf(&old), idOf(s))
+	rekey(lt.confirmedAt, idOf(&old), idOf(s))
+	rekey(lt.readySince, idOf(&old), idOf(s))
 	return true
 }
 
 // provesNewerLeader reports whether a refusal of a grant for its low fence proves that there is
 // another leader. It does if the grant had the slice's current fence, since this leader
 // has assigned no higher one to these keys.
-func (k *leaseTable) provesNewerLeader(t task) bool {
-	s := k.findSlice(t.order)
+func (lt *leaseTable) provesNewerLeader(t task) bool {
+	s := lt.findSlice(t.order)
 	return s != nil && s.Last == t.slice.Last && s.Owner == t.target && len(s.From) == 0
 }
 
@@ -77,14 +77,14 @@
 // returns it; 0 if none was assigned. The next grant is sent without a pause if a renewal
 // found its connection lost. It waits if the target refused the fence, because this
 // leader may have been replaced.
-func (k *leaseTable) handleConflict(t task, refused bool, now time.Time, uptime time.Duration) uint64 {
-	s := k.findSlice(t.order)
-	if s == nil || !k.refence(s, uptime) {
+func (lt *leaseTable) handleConflict(t task, refused bool, now time.Time, uptime time.Duration) uint64 {
+	s := lt.findSlice(t.order)
+	if s == nil || !lt.refence(s, uptime) {
 		return 0
 	}
 	if refused {
 		t.fence = s.Fence
-		k.retryAt[t.order] = now.Add(orderRetryDelay)
+		lt.retryAt[t.order] = now.Add(orderRetryDelay)
 	}
 	return s.Fence
 }
--- a/internal/process/coordinator/keeper.go
+++ b/internal/process/coordinator/keeper.go
@@ -126,9 +126,9 @@
 
 // newLeaseTable takes over the slices of a record and gives each of them a new fence
 // from given.
-func newLeaseTable(slices map[string][]fleet.Slice, available fenceRange, hold time.Duration) *leaseTable {
-	k := &leaseTable{
-		leaseDuration: hold, fences: available,
+func newLeaseTable(slices map[string][]fleet.Slice, available fenceRange, leaseDuration time.Duration) *leaseTable {
+	lt := &leaseTable{
+		leaseDuration: leaseDuration, fences: available,
 		slices: map[string][]fleet.Slice{}, mayHoldUntil: map[fleet.Life]time.Time{},
 		handovers: map[uint64]string{}, endedTargets: map[fleet.Life]bool{},
 		successors:     map[fleet.Life]fleet.Life{},
@@ -139,41 +139,41 @@
 		sentFences: map[uint64]bool{}, minConfirmedUptime: map[uint64]time.Duration{},
 	}
 	for service, list := range slices {
-		k.slices[service] = append([]fleet.Slice(nil), list...)
+		lt.slices[service] = append([]fleet.Slice(nil), list...)
 		for i := range list {
-			k.refence(&k.slices[service][i], 0)
+			lt.refence(&lt.slices[service][i], 0)
 		}
 	}
-	return k
+	return lt
 }
 
 // prune removes the state of slices and fences that are no longer in use.
-func (k *leaseTable) prune() {
+func (lt *leaseTable) prune() {
 	present := map[sliceID]bool{}
 	fences := map[uint64]bool{}
-	for _, list := range k.slices {
+	for _, list := range lt.slices {
 		for i := range list {
 			present[idOf(&list[i])] = true
 			fences[list[i].Fence] = true
 		}
 	}
-	maps.DeleteFunc(k.handovers, func(fence uint64, _ string) bool { return !fences[fence] })
-	maps.DeleteFunc(k.sentFences, func(fence uint64, _ bool) bool { return !fences[fence] })
-	maps.DeleteFunc(k.minConfirmedUptime, func(fence uint64, _ time.Duration) bool { return !fences[fence] })
-	maps.DeleteFunc(k.confirmedAt, func(id sliceID, _ time.Time) bool { return !present[id] })
-	maps.DeleteFunc(k.readySince, func(id sliceID, _ time.Time) bool { return !present[id] })
-	maps.DeleteFunc(k.retryAt, func(o order, _ time.Time) bool { return !present[sliceID{o.fence, o.first}] })
+	maps.DeleteFunc(lt.handovers, func(fence uint64, _ string) bool { return !fences[fence] })
+	maps.DeleteFunc(lt.sentFences, func(fence uint64, _ bool) bool { return !fences[fence] })
+	maps.DeleteFunc(lt.minConfirmedUptime, func(fence uint64, _ time.Duration) bool { return !fences[fence] })
+	maps.DeleteFunc(lt.confirmedAt, func(id sliceID, _ time.Time) bool { return !present[id] })
+	maps.DeleteFunc(lt.readySince, func(id sliceID, _ time.Time) bool { return !present[id] })
+	maps.DeleteFunc(lt.retryAt, func(o order, _ time.Time) bool { return !present[sliceID{o.fence, o.first}] })
 }
 
 // adoptReady marks slices as ready that the former leader published as ready, and makes
 // their renewals due now.
-func (k *leaseTable) adoptReady(known map[string][]fleet.Slice, now time.Time) {
-	for service, list := range k.slices {
+func (lt *leaseTable) adoptReady(known map[string][]fleet.Slice, now time.Time) {
+	for service, list := range lt.slices {
 		for i := range list {
 			s := fleet.Find(known[service], list[i].First)
 			list[i].Ready = s != nil && s.Owner == list[i].Owner && s.Ready && len(list[i].From) == 0
 			if list[i].Ready {
-				k.confirmedAt[idOf(&list[i])] = now.Add(-renewInterval)
+				lt.confirmedAt[idOf(&list[i])] = now.Add(-renewInterval)
 			}
 		}
 	}
@@ -181,11 +181,11 @@
 
 // expireReady marks slices as not ready whose owners have not confirmed a grant for
 // as long as a grant lasts. It reports whether there were any.
-func (k *leaseTable) expireReady(now time.Time) bool {
+func (lt *leaseTable) expireReady(now time.Time) bool {
 	expired := false
-	for _, list := range k.slices {
+	for _, list := range lt.slices {
 		for i := range list {
-			if s := &list[i]; s.Ready && now.Sub(k.confirmedAt[idOf(s)]) > k.leaseDuration {
+			if s := &list[i]; s.Ready && now.Sub(lt.confirmedAt[idOf(s)]) > lt.leaseDuration {
 				s.Ready, expired = false, true
 			}
 		}
@@ -194,24 +194,24 @@
 }
 
 // setSoleLeader records that no former leader sends grants after the given time.
-func (k *leaseTable) setSoleLeader(after time.Time) {
-	k.soleLeader = true
-	k.formerGrantsUntil = after.Add(maxLeaseTime(k.leaseDuration))
+func (lt *leaseTable) setSoleLeader(after time.Time) {
+	lt.soleLeader = true
+	lt.formerGrantsUntil = after.Add(maxLeaseTime(lt.leaseDuration))
 }
 
 // maxLeaseTime returns how long a grant of the given duration may be in force after
 // its arrival, by this VM's clock.
-func maxLeaseTime(hold time.Duration) time.Duration {
-	return time.Duration(float64(hold)*(1+maxClockDrift)) + leaseMargin
+func maxLeaseTime(leaseDuration time.Duration) time.Duration {
+	return time.Duration(float64(leaseDuration)*(1+maxClockDrift)) + leaseMargin
 }
 
 // markEnded records that an incarnation of a target had markEnded by the given time. A grant
 // at a new fence that completed later may have reached the next incarnation; renewals
 // reach only the former one.
-func (k *leaseTable) markEnded(life fleet.Life, at time.Time) {
-	k.endedTargets[life] = true
-	k.grantedAfterEnd[life] = k.grantedAfterEnd[life] || k.newFenceGrantedAt[life].After(at)
-	for _, list := range k.slices {
+func (lt *leaseTable) markEnded(life fleet.Life, at time.Time) {
+	lt.endedTargets[life] = true
+	lt.grantedAfterEnd[life] = lt.grantedAfterEnd[life] || lt.newFenceGrantedAt[life].After(at)
+	for _, list := range lt.slices {
 		for i := range list {
 			list[i].Ready = list[i].Ready && list[i].Owner != life
 		}
@@ -221,18 +221,18 @@
 // markRestarted records that a target runs in a newer incarnation. Orders to the former
 // one may have reached it, so it replaces the former one among those that must release
 // keys.
-func (k *leaseTable) markRestarted(former, present fleet.Life, now time.Time) {
-	k.markEnded(former, now)
-	k.successors[former] = present
-	k.extendLease(present, k.mayHoldUntil[former])
-	for _, list := range k.slices {
+func (lt *leaseTable) markRestarted(former, next fleet.Life, now time.Time) {
+	lt.markEnded(former, now)
+	lt.successors[former] = next
+	lt.extendLease(next, lt.mayHoldUntil[former])
+	for _, list := range lt.slices {
 		for i := range list {
 			if !slices.Contains(list[i].From, former) {
 				continue
 			}
 			removeFormerOwner(&list[i], former)
-			if !slices.Contains(list[i].From, present) && list[i].Owner != present {
-				list[i].From = append(list[i].From, present)
+			if !slices.Contains(list[i].From, next) && list[i].Owner != next {
+				list[i].From = append(list[i].From, next)
 			}
 		}
 	}
@@ -250,21 +250,21 @@
 
 // mayHold reports whether an incarnation of a target may have a grant in force. One
 // that has ended has none, once no former leader can send grants to its address.
-func (k *leaseTable) mayHold(life fleet.Life, now time.Time) bool {
-	if k.endedTargets[life] && !k.grantedAfterEnd[life] && k.ordersInFlight[life] == 0 && k.soleLeader && (k.formerLeaderEnded || now.After(k.formerGrantsUntil)) {
+func (lt *leaseTable) mayHold(life fleet.Life, now time.Time) bool {
+	if lt.endedTargets[life] && !lt.grantedAfterEnd[life] && lt.ordersInFlight[life] == 0 && lt.soleLeader && (lt.formerLeaderEnded || now.After(lt.formerGrantsUntil)) {
 		return false
 	}
-	return !k.soleLeader || now.Before(k.formerGrantsUntil) || now.Before(k.mayHoldUntil[life]) || k.hasGrantInFlight(life)
+	return !lt.soleLeader || now.Before(lt.formerGrantsUntil) || now.Before(lt.mayHoldUntil[life]) || lt.hasGrantInFlight(life)
 }
 
 // hasGrantInFlight reports whether a grant is in flight that an incarnation may accept,
 // including one that was sent to a former incarnation of the same target.
-func (k *leaseTable) hasGrantInFlight(life fleet.Life) bool {
-	if k.grantsInFlight[life] > 0 {
+func (lt *leaseTable) hasGrantInFlight(life fleet.Life) bool {
+	if lt.grantsInFlight[life] > 0 {
 		return true
 	}
-	for former, present := range k.successors {
-		if present == life && k.hasGrantInFlight(former) {
+	for former, next := range lt.successors {
+		if next == life && lt.hasGrantInFlight(former) {
 			return true
 		}
 	}
@@ -272,44 +272,44 @@
 }
 
 // extendLease records that a target may have a grant in force until the given time.
-func (k *leaseTable) extendLease(life fleet.Life, until time.Time) {
-	if until.After(k.mayHoldUntil[life]) {
-		k.mayHoldUntil[life] = until
+func (lt *leaseTable) extendLease(life fleet.Life, until time.Time) {
+	if until.After(lt.mayHoldUntil[life]) {
+		lt.mayHoldUntil[life] = until
 	}
 }
 
 // expireFormerOwners removes former owners that can have no grant in force any more, and returns
 // the slices from which one was removed.
-func (k *leaseTable) expireFormerOwners(now time.Time) []fleet.Slice {
+func (lt *leaseTable) expireFormerOwners(now time.Time) []fleet.Slice {
 	var freed []fleet.Slice
-	for service, list := range k.slices {
+	for service, list := range lt.slices {
 		for i := range list {
 			for _, life := range slices.Clone(list[i].From) {
-				if !k.mayHold(life, now) {
+				if !lt.mayHold(life, now) {
 					removeFormerOwner(&list[i], life)
 					freed = append(freed, list[i])
 				}
 			}
 		}
-		k.slices[service] = list
+		lt.slices[service] = list
 	}
 	return freed
 }
 
 // dueTasks returns the orders to send now, and records them as in flight. confirmed is the
 // uptime at which this VM was last confirmed as the leader.
-func (k *leaseTable) dueTasks(now time.Time, confirmedUptime time.Duration) []task {
+func (lt *leaseTable) dueTasks(now time.Time, confirmedUptime time.Duration) []task {
 	var tasks []task
-	for service, list := range k.slices {
+	for service, list := range lt.slices {
 		for _, s := range list {
 			if len(s.From) > 0 {
 				for _, life := range s.From {
-					tasks = k.appendIfDue(tasks, task{order: order{service, s.Fence, s.First, life, true}, slice: s}, now, confirmedUptime)
+					tasks = lt.appendIfDue(tasks, task{order: order{service, s.Fence, s.First, life, true}, slice: s}, now, confirmedUptime)
 				}
 				continue
 			}
-			tasks = k.appendIfDue(tasks, task{
-				order: order{service, s.Fence, s.First, s.Owner, false}, slice: s, handover: k.handovers[s.Fence],
+			tasks = lt.appendIfDue(tasks, task{
+				order: order{service, s.Fence, s.First, s.Owner, false}, slice: s, handover: lt.handovers[s.Fence],
 			}, now, confirmedUptime)
 		}
 	}
@@ -318,33 +318,33 @@
 
 // appendIfDue appends a task, unless its order is in flight already, must not be sent yet, or
 // is for an incarnation that has ended.
-func (k *leaseTable) appendIfDue(tasks []task, t task, now time.Time, confirmedUptime time.Duration) []task {
-	if k.inFlight[t.order] || k.endedTargets[t.target] || now.Before(k.retryAt[t.order]) {
+func (lt *leaseTable) appendIfDue(tasks []task, t task, now time.Time, confirmedUptime time.Duration) []task {
+	if lt.inFlight[t.order] || lt.endedTargets[t.target] || now.Before(lt.retryAt[t.order]) {
 		return tasks
 	}
-	if t.release && k.hasFirstGrantInFlight(t) {
+	if t.release && lt.hasFirstGrantInFlight(t) {
 		return tasks
 	}
 	if !t.release {
-		if t.slice.Ready && k.renewalCanWait(t, now) {
+		if t.slice.Ready && lt.renewalCanWait(t, now) {
 			return tasks
 		}
-		t.fenceSent = k.sentFences[t.fence]
-		if !t.fenceSent && confirmedUptime < k.minConfirmedUptime[t.fence] {
+		t.fenceSent = lt.sentFences[t.fence]
+		if !t.fenceSent && confirmedUptime < lt.minConfirmedUptime[t.fence] {
 			return tasks
 		}
-		delete(k.minConfirmedUptime, t.fence)
-		k.sentFences[t.fence] = true
+		delete(lt.minConfirmedUptime, t.fence)
+		lt.sentFences[t.fence] = true
 	}
-	k.inFlight[t.order] = true
-	k.ordersInFlight[t.target]++
+	lt.inFlight[t.order] = true
+	lt.ordersInFlight[t.target]++
 	if !t.release {
-		k.grantsInFlight[t.target]++
+		lt.grantsInFlight[t.target]++
 		if !t.fenceSent {
-			if k.firstGrants[t.target.ID] == nil {
-				k.firstGrants[t.target.ID] = map[order]fleet.Slice{}
+			if lt.firstGrants[t.target.ID] == nil {
+				lt.firstGrants[t.target.ID] = map[order]fleet.Slice{}
 			}
-			k.firstGrants[t.target.ID][t.order] = t.slice
+			lt.firstGrants[t.target.ID][t.order] = t.slice
 		}
 	}
 	return append(tasks, t)
@@ -352,8 +352,8 @@
 
 // hasFirstGrantInFlight reports whether a first grant of a release's keys is in flight. It could
 // reach a later incarnation of the target than the one that answers the release.
-func (k *leaseTable) hasFirstGrantInFlight(release task) bool {
-	for o, s := range k.firstGrants[release.target.ID] {
+func (lt *leaseTable) hasFirstGrantInFlight(release task) bool {
+	for o, s := range lt.firstGrants[release.target.ID] {
 		if o.service == release.service && s.First <= release.slice.Last && release.slice.First <= s.Last {
 			return true
 		}
@@ -362,17 +362,17 @@
 }
 
 // renewalCanWait reports whether the renewal of a grant can wait.
-func (k *leaseTable) renewalCanWait(t task, now time.Time) bool {
-	at := k.confirmedAt[idOf(&t.slice)].Add(renewInterval)
+func (lt *leaseTable) renewalCanWait(t task, now time.Time) bool {
+	at := lt.confirmedAt[idOf(&t.slice)].Add(renewInterval)
 	if now.Before(at) {
 		return true
 	}
-	return k.ordersInFlight[t.target] >= maxParallelRenewals && now.Before(at.Add(maxRenewalDelay))
+	return lt.ordersInFlight[t.target] >= maxParallelRenewals && now.Before(at.Add(maxRenewalDelay))
 }
 
 // findSlice returns the slice of an order, or nil if it has changed since.
-func (k *leaseTable) findSlice(o order) *fleet.Slice {
-	list := k.slices[o.service]
+func (lt *leaseTable) findSlice(o order) *fleet.Slice {
+	list := lt.slices[o.service]
 	for i := range list {
 		if list[i].Fence == o.fence && list[i].First == o.first {
 			return &list[i]
@@ -384,63 +384,63 @@
 // grantDone records a completed grant that may have reached the target, so that the
 // target may hold the keys for as long as a grant lasts. ok is set if the target
 // confirmed it. The result reports whether the slice became ready.
-func (k *leaseTable) grantDone(t task, ok bool, now time.Time) bool {
-	k.removeInFlight(t)
-	k.grantedAfterEnd[t.target] = k.grantedAfterEnd[t.target] || k.endedTargets[t.target]
+func (lt *leaseTable) grantDone(t task, ok bool, now time.Time) bool {
+	lt.removeInFlight(t)
+	lt.grantedAfterEnd[t.target] = lt.grantedAfterEnd[t.target] || lt.endedTargets[t.target]
 	if !t.fenceSent {
-		k.newFenceGrantedAt[t.target] = now
+		lt.newFenceGrantedAt[t.target] = now
 	}
-	until := now.Add(maxLeaseTime(k.leaseDuration))
+	until := now.Add(maxLeaseTime(lt.leaseDuration))
 	life, known := t.target, true
 	for known {
-		k.extendLease(life, until)
-		life, known = k.successors[life]
+		lt.extendLease(life, until)
+		life, known = lt.successors[life]
 	}
 	if !ok {
-		k.retryAt[t.order] = now.Add(orderRetryDelay)
+		lt.retryAt[t.order] = now.Add(orderRetryDelay)
 		return false
 	}
-	delete(k.retryAt, t.order)
-	s := k.findSlice(t.order)
+	delete(lt.retryAt, t.order)
+	s := lt.findSlice(t.order)
 	if s == nil || s.Owner != t.target || len(s.From) > 0 {
 		return false
 	}
-	k.confirmedAt[idOf(s)] = now
+	lt.confirmedAt[idOf(s)] = now
 	becameReady := !s.Ready
 	if becameReady {
-		k.readySince[idOf(s)] = now
+		lt.readySince[idOf(s)] = now
 	}
 	s.Ready = true
 	return becameReady
 }
 
 // orderFailed records an order that had no effect, and schedules its retry.
-func (k *leaseTable) orderFailed(t task, now time.Time) {
-	k.removeInFlight(t)
-	k.retryAt[t.order] = now.Add(orderRetryDelay)
+func (lt *leaseTable) orderFailed(t task, now time.Time) {
+	lt.removeInFlight(t)
+	lt.retryAt[t.order] = now.Add(orderRetryDelay)
 }
 
 // removeInFlight removes an order from those in flight.
-func (k *leaseTable) removeInFlight(t task) {
-	delete(k.inFlight, t.order)
-	k.ordersInFlight[t.target]--
+func (lt *leaseTable) removeInFlight(t task) {
+	delete(lt.inFlight, t.order)
+	lt.ordersInFlight[t.target]--
 	if !t.release {
-		k.grantsInFlight[t.target]--
-		delete(k.firstGrants[t.target.ID], t.order)
+		lt.grantsInFlight[t.target]--
+		delete(lt.firstGrants[t.target.ID], t.order)
 	}
 }
 
 // releaseDone records a confirmed release and the former owner's handover text. It
 // reports whether the slice has no former owners left.
-func (k *leaseTable) releaseDone(t task, handover string) bool {
-	k.removeInFlight(t)
-	delete(k.retryAt, t.order)
-	s := k.findSlice(t.order)
+func (lt *leaseTable) releaseDone(t task, handover string) bool {
+	lt.removeInFlight(t)
+	delete(lt.retryAt, t.order)
+	s := lt.findSlice(t.order)
 	if s == nil || !removeFormerOwner(s, t.target) {
 		return false
 	}
 	if handover != "" {
-		k.handovers[s.Fence] = handover
+		lt.handovers[s.Fence] = handover
 	}
 	return len(s.From) == 0
 }
--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -63,11 +63,11 @@
 
 // sendDueOrders sends the orders that are due.
 func (c *Coordinator) sendDueOrders(now time.Time) {
-	k, confirmed := c.lead.keeper, time.Duration(0)
-	if len(k.minConfirmedUptime) > 0 {
-		confirmed = c.recentlyConfirmedAt()
+	lt, confirmedUptime := c.lead.keeper, time.Duration(0)
+	if len(lt.minConfirmedUptime) > 0 {
+		confirmedUptime = c.recentlyConfirmedAt()
 	}
-	for _, t := range k.dueTasks(now, confirmed) {
+	for _, t := range lt.dueTasks(now, confirmedUptime) {
 		c.sendOrder(t)
 	}
 }
@@ -187,34 +187,34 @@
 // during the write is kept. If other slices were assigned fences above the planned ones
 // during the write, the moved slices get new fences as well: a release needs a higher
 // fence than the one that the former owner has.
-func (k *leaseTable) applyMoves(service string, written []fleet.Slice, planned fenceRange) {
-	live := k.slices[service]
-	k.slices[service] = append([]fleet.Slice(nil), written...)
-	for i := range k.slices[service] {
-		s := &k.slices[service][i]
+func (lt *leaseTable) applyMoves(service string, written []fleet.Slice, planned fenceRange) {
+	live := lt.slices[service]
+	lt.slices[service] = append([]fleet.Slice(nil), written...)
+	for i := range lt.slices[service] {
+		s := &lt.slices[service][i]
 		if s.Fence >= planned.next {
-			if k.fences.next > planned.last+1 {
-				k.refence(s, 0)
+			if lt.fences.next > planned.last+1 {
+				lt.refence(s, 0)
 			}
 			if s.Ready {
-				k.confirmedAt[idOf(s)] = time.Now()
+				lt.confirmedAt[idOf(s)] = time.Now()
 			}
 			continue
 		}
 		if known := fleet.Find(live, s.First); known != nil && known.Owner == s.Owner {
-			k.copyProgress(s, known)
+			lt.copyProgress(s, known)
 		}
 	}
-	k.prune()
+	lt.prune()
 }
 
 // copyProgress copies the current state of a slice to its written form, or to a part
 // of the slice.
-func (k *leaseTable) copyProgress(s, known *fleet.Slice) {
+func (lt *leaseTable) copyProgress(s, known *fleet.Slice) {
 	s.Fence, s.From, s.Ready = known.Fence, known.From, known.Ready
-	if at, confirmed := k.confirmedAt[idOf(known)]; confirmed {
-		k.confirmedAt[idOf(s)] = at
-		k.readySince[idOf(s)] = k.readySince[idOf(known)]
+	if at, confirmed := lt.confirmedAt[idOf(known)]; confirmed {
+		lt.confirmedAt[idOf(s)] = at
+		lt.readySince[idOf(s)] = lt.readySince[idOf(known)]
 	}
 }
 
@@ -271,32 +271,32 @@
 
 // orderDone handles the result of an order that was sent at began.
 func (c *Coordinator) orderDone(t task, handover string, err error, began time.Time) {
-	k := c.lead.keeper
+	lt := c.lead.keeper
 	now := time.Now()
 	changed, newFence := false, uint64(0)
 	switch {
 	case fault.Is(err, fault.NotFound):
-		k.orderFailed(t, now)
+		lt.orderFailed(t, now)
 		c.checkTargetEnded(t.target)
 	case fault.Is(err, fault.Refused):
 		// Another process listens at the target's address, so the target has ended.
-		k.orderFailed(t, now)
-		changed = !k.endedTargets[t.target]
-		k.markEnded(t.target, now)
+		lt.orderFailed(t, now)
+		changed = !lt.endedTargets[t.target]
+		lt.markEnded(t.target, now)
 	case t.release && err == nil:
-		changed = k.releaseDone(t, handover)
+		changed = lt.releaseDone(t, handover)
 	case t.release:
-		k.orderFailed(t, now)
+		lt.orderFailed(t, now)
 	case fault.Is(err, fault.Conflict):
-		k.orderFailed(t, now)
+		lt.orderFailed(t, now)
 		refused := !errors.Is(err, target.ErrProcessUnknown)
-		if refused && k.provesNewerLeader(t) {
+		if refused && lt.provesNewerLeader(t) {
 			c.lead.outdone(c.config.Uptime())
 		}
-		newFence = k.handleConflict(t, refused, now, c.config.Uptime())
+		newFence = lt.handleConflict(t, refused, now, c.config.Uptime())
 		changed = newFence != 0
 	default:
-		changed = k.grantDone(t, err == nil, now)
+		changed = lt.grantDone(t, err == nil, now)
 	}
 	c.logOrder(t, err, now.Sub(began), changed, newFence)
 	if changed {
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -261,24 +261,24 @@
 	}
 }
 
-// TestKeeperForgetsFormerSlices: the state of a slice is removed together with the slice.
-func TestKeeperForgetsFormerSlices(t *testing.T) {
+// TestLeaseTablePrunesRemovedSlices: the state of a slice is removed together with the slice.
+func TestLeaseTablePrunesRemovedSlices(t *testing.T) {
 	now := time.Now()
 	life := fleet.Life{ID: "t", Born: 1}
-	k := newLeaseTable(nil, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
-	k.setSoleLeader(now.Add(-time.Minute))
+	lt := newLeaseTable(nil, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
+	lt.setSoleLeader(now.Add(-time.Minute))
 	for range 100 {
-		fence := k.fences.allocate()
-		k.applyMoves("s", []fleet.Slice{{First: 0, Last: 65535, Owner: life, Fence: fence}}, fenceRange{fence, fence})
-		k.handovers[fence] = "handover"
-		tasks := k.dueTasks(now, 0)
+		fence := lt.fences.allocate()
+		lt.applyMoves("s", []fleet.Slice{{First: 0, Last: 65535, Owner: life, Fence: fence}}, fenceRange{fence, fence})
+		lt.handovers[fence] = "handover"
+		tasks := lt.dueTasks(now, 0)
 		assert.Equal(t, len(tasks), 1)
-		assert.Assert(t, k.grantDone(tasks[0], true, now))
+		assert.Assert(t, lt.grantDone(tasks[0], true, now))
 	}
-	assert.Equal(t, len(k.handovers), 1)
-	assert.Equal(t, len(k.confirmedAt), 1)
-	assert.Equal(t, len(k.sentFences), 1)
-	assert.Equal(t, len(k.readySince), 1)
+	assert.Equal(t, len(lt.handovers), 1)
+	assert.Equal(t, len(lt.confirmedAt), 1)
+	assert.Equal(t, len(lt.sentFences), 1)
+	assert.Equal(t, len(lt.readySince), 1)
 }
 
 // TestRenewalsShareConnections: a target with many slices is sent its renewals a few at a
@@ -290,7 +290,7 @@
 	for i := range slices {
 		list = append(list, fleet.Slice{First: uint16(i * 10), Last: uint16(i*10 + 9), Owner: owner, Fence: uint64(i + 1), Ready: true})
 	}
-	k := newLeaseTable(map[string][]fleet.Slice{"s": list}, fencesAfter(&fleet.Record{LastFence: slices}), defaultLeaseDuration)
+	lt := newLeaseTable(map[string][]fleet.Slice{"s": list}, fencesAfter(&fleet.Record{LastFence: slices}), defaultLeaseDuration)
 	now := time.Now()
 	renewed := map[uint64]time.Time{}
 	answer := func(tasks []task) {
@@ -299,14 +299,14 @@
 				assert.Assert(t, now.Sub(last) < defaultLeaseDuration/2, "a grant was renewed after %s", now.Sub(last))
 			}
 			renewed[due.fence] = now
-			k.grantDone(due, true, now)
+			lt.grantDone(due, true, now)
 		}
 	}
-	answer(k.dueTasks(now, 0))
+	answer(lt.dueTasks(now, 0))
 	most := 0
 	for range 200 {
 		now = now.Add(tickEvery)
-		tasks := k.dueTasks(now, 0)
+		tasks := lt.dueTasks(now, 0)
 		most = max(most, len(tasks))
 		answer(tasks)
 	}
@@ -315,24 +315,24 @@
 
 	// Renewals without an answer do not block those that are overdue.
 	now = now.Add(renewInterval + maxRenewalDelay)
-	assert.Equal(t, len(k.dueTasks(now, 0)), slices)
+	assert.Equal(t, len(lt.dueTasks(now, 0)), slices)
 }
 
 // TestNextLifeMayHoldGrants: grants that were sent to a former incarnation of a target may
 // have reached the next one, whether they complete before or after the restart is known.
 func TestNextLifeMayHoldGrants(t *testing.T) {
-	former, present := fleet.Life{ID: "a", Born: 1}, fleet.Life{ID: "a", Born: 2}
+	former, next := fleet.Life{ID: "a", Born: 1}, fleet.Life{ID: "a", Born: 2}
 	slice := fleet.Slice{First: 0, Last: 9, Owner: former, Fence: 1}
-	k := newLeaseTable(map[string][]fleet.Slice{"s": {slice}}, fencesAfter(&fleet.Record{LastFence: 1}), defaultLeaseDuration)
-	k.soleLeader = true
+	lt := newLeaseTable(map[string][]fleet.Slice{"s": {slice}}, fencesAfter(&fleet.Record{LastFence: 1}), defaultLeaseDuration)
+	lt.soleLeader = true
 	now := time.Now()
 	grant := task{order: order{"s", 1, 0, former, false}, slice: slice}
-	k.grantDone(grant, true, now)
-	k.markRestarted(former, present, now)
-	assert.Assert(t, k.mayHold(present, now.Add(defaultLeaseDuration)))
-	assert.Assert(t, !k.mayHold(present, now.Add(2*defaultLeaseDuration)))
-	k.grantDone(grant, false, now.Add(defaultLeaseDuration))
-	assert.Assert(t, k.mayHold(present, now.Add(2*defaultLeaseDuration)))
+	lt.grantDone(grant, true, now)
+	lt.markRestarted(former, next, now)
+	assert.Assert(t, lt.mayHold(next, now.Add(defaultLeaseDuration)))
+	assert.Assert(t, !lt.mayHold(next, now.Add(2*defaultLeaseDuration)))
+	lt.grantDone(grant, false, now.Add(defaultLeaseDuration))
+	assert.Assert(t, lt.mayHold(next, now.Add(2*defaultLeaseDuration)))
 }
 
 // TestLostRenewalsOfAnEndedTargetHoldNothing: a renewal without an answer was sent to the
@@ -341,13 +341,13 @@
 	for _, again := range []bool{true, false} {
 		asked := time.Now()
 		life := fleet.Life{ID: "a", Born: 1}
-		k := newLeaseTable(map[string][]fleet.Slice{"s": {{Last: 65535, Owner: life}}}, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
-		k.setSoleLeader(asked.Add(-time.Minute))
-		due := k.dueTasks(asked, 0)[0]
+		lt := newLeaseTable(map[string][]fleet.Slice{"s": {{Last: 65535, Owner: life}}}, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
+		lt.setSoleLeader(asked.Add(-time.Minute))
+		due := lt.dueTasks(asked, 0)[0]
 		due.fenceSent = again
-		k.grantDone(due, false, asked.Add(time.Millisecond))
-		k.markEnded(life, asked)
-		assert.Equal(t, k.mayHold(life, asked.Add(time.Second)), !again)
+		lt.grantDone(due, false, asked.Add(time.Millisecond))
+		lt.markEnded(life, asked)
+		assert.Equal(t, lt.mayHold(life, asked.Add(time.Second)), !again)
 	}
 }
 
@@ -356,17 +356,17 @@
 func TestFirstGrantUnderWayIsHeld(t *testing.T) {
 	now := time.Now()
 	former, next := fleet.Life{ID: "b", Born: 1}, fleet.Life{ID: "c", Born: 1}
-	k := newLeaseTable(map[string][]fleet.Slice{"s": {{First: 0, Last: 65535, Owner: former}}}, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
-	k.setSoleLeader(now.Add(-time.Minute))
-	tasks := k.dueTasks(now, 0)
+	lt := newLeaseTable(map[string][]fleet.Slice{"s": {{First: 0, Last: 65535, Owner: former}}}, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
+	lt.setSoleLeader(now.Add(-time.Minute))
+	tasks := lt.dueTasks(now, 0)
 	assert.Equal(t, len(tasks), 1)
-	first := k.fences.next
-	list := keyspace.Apply(k.slices["s"], []keyspace.Move{{First: 0, Last: 65535, To: next}}, k.fences.allocate)
-	k.applyMoves("s", list, fenceRange{first, k.fences.next - 1})
-	assert.Equal(t, len(k.expireFormerOwners(now)), 0)
-	k.grantDone(tasks[0], false, now.Add(grantTimeout))
-	assert.Equal(t, len(k.expireFormerOwners(now.Add(grantTimeout+defaultLeaseDuration))), 0)
-	assert.Equal(t, len(k.expireFormerOwners(now.Add(grantTimeout+2*defaultLeaseDuration))), 1)
+	first := lt.fences.next
+	list := keyspace.Apply(lt.slices["s"], []keyspace.Move{{First: 0, Last: 65535, To: next}}, lt.fences.allocate)
+	lt.applyMoves("s", list, fenceRange{first, lt.fences.next - 1})
+	assert.Equal(t, len(lt.expireFormerOwners(now)), 0)
+	lt.grantDone(tasks[0], false, now.Add(grantTimeout))
+	assert.Equal(t, len(lt.expireFormerOwners(now.Add(grantTimeout+defaultLeaseDuration))), 0)
+	assert.Equal(t, len(lt.expireFormerOwners(now.Add(grantTimeout+2*defaultLeaseDuration))), 1)
 }
 
 // recordingSender records the messages that are sent, without encoding them.
