--- a/internal/process/coordinator/delivery.go
+++ b/internal/process/coordinator/delivery.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// changeLostIntervals is the number of report intervals after which a change that a VM has
-	// not reported counts as lost. Including the delay of a report, a lost change is
-	// sent again well within the 2 s after which a leaving target must get no more
+	// changeLostIntervals is the number of report intervals after which a change that a
+	// VM has not reported counts as lost. Including the delay of a report, a lost change
+	// is sent again well within the 2 s after which a leaving target must get no more
 	// requests.
 	changeLostIntervals = 2
 	// listLostAfter is the corresponding time for a full list or a first configuration.
@@ -32,7 +32,7 @@
 	reported uint64
 }
 
-// markSent records that a version is sent. whole is set if it is not just a change.
+// markSent records that a version is sent. full is set if it is not just a change.
 func (d *delivery) markSent(full bool, now time.Time) {
 	if d.pendingSince.IsZero() {
 		d.pendingSince, d.full = now, false
@@ -62,8 +62,8 @@
 	}
 }
 
-// updateDeliveries updates the deliveries with the versions that a VM has updateDeliveries. interval is
-// the interval of its reports.
+// updateDeliveries updates the deliveries with the versions that a VM has reported. interval
+// is the interval of its reports.
 func (m *member) updateDeliveries(have *peerv1.PartVersions, interval time.Duration, now time.Time) {
 	if m.sent == nil {
 		m.sent = &peerv1.PartVersions{
--- a/internal/process/coordinator/fences.go
+++ b/internal/process/coordinator/fences.go
@@ -10,12 +10,12 @@
 // of the record: several for each slice of a large fleet.
 const fenceReserve = 1 << 14
 
-// fenceRange is the range of fenceRange that a leader may still assign. The record holds the
+// fenceRange is the range of fences that a leader may still assign. The record holds the
 // last one, so that the next leader starts above it.
 //
 // Guarantee: no fence is accepted by two processes. A leader assigns each slice a new
-// fence when it takes over, and another one when a grant fails in a way that calls for
-// it. In between it sends the fence only over the connection on which the owner's
+// fence when it takes over, and another one when a grant needs a higher one or the owner
+// refuses requests. In between it sends the fence only over the connection on which the owner's
 // process accepted it.
 //
 // A new fence for the same owner is not written to the record first: the grant reaches
@@ -37,8 +37,8 @@
 // reserved returns the last fence that the next write of the record reserves.
 func (f *fenceRange) reserved() uint64 { return max(f.last, f.next+fenceReserve) }
 
-// allocate assigns a fence to a move. The move begins only after a record that reserves
-// the fence has been written.
+// allocate returns the next fence. A move to which it is assigned begins only after a
+// record that reserves the fence has been written.
 func (f *fenceRange) allocate() uint64 {
 	f.next++
 	return f.next - 1
@@ -65,9 +65,9 @@
 	return true
 }
 
-// provesNewerLeader reports whether a refusal of a grant for its low fence proves that there is
-// another leader. It does if the grant had the slice's current fence, since this leader
-// has assigned no higher one to these keys.
+// provesNewerLeader reports whether a target that refuses a grant for its low fence proves
+// that there is a newer leader. It does if the grant had the slice's current fence, since
+// this leader has assigned no higher one to these keys.
 func (lt *leaseTable) provesNewerLeader(t task) bool {
 	s := lt.findSlice(t.order)
 	return s != nil && s.Last == t.slice.Last && s.Owner == t.target && len(s.From) == 0
--- a/internal/process/coordinator/former_test.go
+++ b/internal/process/coordinator/former_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// awaitOtherLeader waits until a VM other than first leads and returns its name.
+// awaitOtherLeader waits until a VM other than former leads and returns its name.
 func (w *world) awaitOtherLeader(former string, within time.Duration) string {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, n := range w.running() {
@@ -184,7 +184,7 @@
 }
 
 // TestLeaderThatStepsDownTakesItsOrdersBack: a leader that hands over cancels its orders in
-// flight. Otherwise a grant could reach a restarted target after the next leader has moved
+// flight; otherwise a grant could reach a restarted target after the next leader has moved
 // the keys.
 func TestLeaderThatStepsDownTakesItsOrdersBack(t *testing.T) {
 	for after := time.Duration(0); after < 200*time.Millisecond; after += 20 * time.Millisecond {
--- a/internal/process/coordinator/keeper.go
+++ b/internal/process/coordinator/keeper.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// defaultLeaseDuration is how long a grant lasts. The keys of a target that stops answering
-	// are served by another target after this time.
+	// defaultLeaseDuration is how long a grant lasts, unless targets accept only shorter
+	// ones. The keys of a target that stops answering are served by another target after
+	// this time.
 	defaultLeaseDuration = 3 * time.Second
 	// renewInterval is the interval between renewals of a grant: a quarter of the time
 	// that the grant lasts.
 	renewInterval = 750 * time.Millisecond
 	// maxParallelRenewals is the number of orders in flight to a target from which on its
 	// renewals wait, so that they share two connections. A renewal that is overdue by
-	// renewSlack does not wait.
+	// maxRenewalDelay does not wait.
 	maxParallelRenewals = 2
 	maxRenewalDelay     = renewInterval
 	// maxClockDrift is the share by which a target's clock may run slower than the
@@ -41,13 +42,13 @@
 // That is so once each former owner has answered a release at the slice's fence,
 // has ended, or can no longer have a grant in force. Former owners are written to
 // the store before the first release is sent. A fence is accepted by one process
-// only (see fences).
+// only (see fenceRange).
 type leaseTable struct {
 	slices map[string][]fleet.Slice
 	// mayHoldUntil is when the last grant that a target may have received expires.
 	mayHoldUntil map[fleet.Life]time.Time
 	// soleLeader is set once no former leader can send grants any more. Those that it
-	// sent expire by heldBefore.
+	// sent expire by formerGrantsUntil.
 	soleLeader        bool
 	formerGrantsUntil time.Time
 	// formerLeaderEnded is set if the former leader's process is known to have ended, so
@@ -58,18 +59,19 @@
 	handovers map[uint64]string
 	// leaseDuration is how long a grant lasts.
 	leaseDuration time.Duration
-	// endedTargets are incarnations that have ended. They get no more orders, because another
-	// incarnation at the same address would accept them.
+	// endedTargets are incarnations that have ended. They get no more orders, because
+	// another incarnation at the same address would accept them.
 	endedTargets map[fleet.Life]bool
 	// successors maps an incarnation that has ended to the next one of the same
 	// target. Grants that were sent to the former may have reached the latter.
 	successors map[fleet.Life]fleet.Life
-	// ordersInFlight counts the orders in flight to an incarnation. late is set if the next
-	// incarnation at its address may have accepted a grant: one that had not been
+	// ordersInFlight counts the orders in flight to an incarnation. grantedAfterEnd is set
+	// if the next incarnation at its address may have accepted a grant: one that was not
 	// refused completed after the incarnation had ended.
 	ordersInFlight  map[fleet.Life]int
 	grantedAfterEnd map[fleet.Life]bool
-	// newFenceGrantedAt is when a grant at a new fence that was not refused last completed.
+	// newFenceGrantedAt is when a grant at a new fence that was not refused last
+	// completed.
 	newFenceGrantedAt map[fleet.Life]time.Time
 	// grantsInFlight counts the grants in flight to an incarnation.
 	grantsInFlight map[fleet.Life]int
@@ -85,12 +87,12 @@
 	// it first did.
 	confirmedAt map[sliceID]time.Time
 	readySince  map[sliceID]time.Time
-	// fences are those that this leader may still assign. sent are those that it has
-	// sent in a grant.
+	// fences are those that this leader may still assign. sentFences are those that it
+	// has sent in a grant.
 	fences     fenceRange
 	sentFences map[uint64]bool
-	// minConfirmedUptime holds, by fence, the uptime at or after which this VM must have been
-	// confirmed as the leader before the fence is first sent.
+	// minConfirmedUptime holds, by fence, the uptime at or after which this VM must have
+	// been confirmed as the leader before the fence is first sent.
 	minConfirmedUptime map[uint64]time.Duration
 }
 
@@ -124,8 +126,8 @@
 	fenceSent bool
 }
 
-// newLeaseTable takes over the slices of a record and gives each of them a new fence
-// from given.
+// newLeaseTable takes over the slices of a record and assigns each of them a new fence
+// of those available.
 func newLeaseTable(slices map[string][]fleet.Slice, available fenceRange, leaseDuration time.Duration) *leaseTable {
 	lt := &leaseTable{
 		leaseDuration: leaseDuration, fences: available,
@@ -205,8 +207,8 @@
 	return time.Duration(float64(leaseDuration)*(1+maxClockDrift)) + leaseMargin
 }
 
-// markEnded records that an incarnation of a target had markEnded by the given time. A grant
-// at a new fence that completed later may have reached the next incarnation; renewals
+// markEnded records that an incarnation of a target had ended by the given time. A
+// grant at a new fence that completed later may have reached the next incarnation; renewals
 // reach only the former one.
 func (lt *leaseTable) markEnded(life fleet.Life, at time.Time) {
 	lt.endedTargets[life] = true
@@ -278,8 +280,8 @@
 	}
 }
 
-// expireFormerOwners removes former owners that can have no grant in force any more, and returns
-// the slices from which one was removed.
+// expireFormerOwners removes former owners that can have no grant in force any more, and
+// returns the slices from which one was removed.
 func (lt *leaseTable) expireFormerOwners(now time.Time) []fleet.Slice {
 	var freed []fleet.Slice
 	for service, list := range lt.slices {
@@ -296,8 +298,8 @@
 	return freed
 }
 
-// dueTasks returns the orders to send now, and records them as in flight. confirmed is the
-// uptime at which this VM was last confirmed as the leader.
+// dueTasks returns the orders to send now, and records them as in flight. confirmedUptime
+// is when this VM was last confirmed as the leader.
 func (lt *leaseTable) dueTasks(now time.Time, confirmedUptime time.Duration) []task {
 	var tasks []task
 	for service, list := range lt.slices {
@@ -316,8 +318,8 @@
 	return tasks
 }
 
-// appendIfDue appends a task, unless its order is in flight already, must not be sent yet, or
-// is for an incarnation that has ended.
+// appendIfDue appends a task, unless its order is in flight already, must not be sent yet,
+// or is for an incarnation that has ended.
 func (lt *leaseTable) appendIfDue(tasks []task, t task, now time.Time, confirmedUptime time.Duration) []task {
 	if lt.inFlight[t.order] || lt.endedTargets[t.target] || now.Before(lt.retryAt[t.order]) {
 		return tasks
@@ -350,8 +352,9 @@
 	return append(tasks, t)
 }
 
-// hasFirstGrantInFlight reports whether a first grant of a release's keys is in flight. It could
-// reach a later incarnation of the target than the one that answers the release.
+// hasFirstGrantInFlight reports whether a grant of a release's keys is in flight that is
+// the first at its fence. It could reach a later incarnation of the target than the one
+// that answers the release.
 func (lt *leaseTable) hasFirstGrantInFlight(release task) bool {
 	for o, s := range lt.firstGrants[release.target.ID] {
 		if o.service == release.service && s.First <= release.slice.Last && release.slice.First <= s.Last {
@@ -361,7 +364,8 @@
 	return false
 }
 
-// renewalCanWait reports whether the renewal of a grant can wait.
+// renewalCanWait reports whether a renewal is not due yet, or waits for other orders to
+// the same target.
 func (lt *leaseTable) renewalCanWait(t task, now time.Time) bool {
 	at := lt.confirmedAt[idOf(&t.slice)].Add(renewInterval)
 	if now.Before(at) {
--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -31,16 +31,17 @@
 	// a request counts. Requests that were sent before the slice was ready may arrive
 	// until then.
 	minReadyTime = 500 * time.Millisecond
-	// maxConfirmationReports is the maximum age, in report intervals, of a confirmation of the
-	// leader for a replacement fence to be sent. Without the store, the leader is
+	// maxConfirmationReports is the maximum age, in report intervals, of a confirmation of
+	// the leader for a replacement fence to be sent. Without the store, the leader is
 	// confirmed by the reports of VMs, which are usually up to this old.
 	maxConfirmationReports = 2
-	// declarationWait is how long a new leader waits for the declarations to arrive before it
-	// takes keys from targets that are not declared.
+	// declarationWait is how long a new leader waits for the declarations, that is the
+	// configuration and the targets in the store, before it takes keys from targets that
+	// are not declared.
 	declarationWait = 300 * time.Millisecond
 )
 
-// manageKeys expires leases, plans moves and sends the orders that are due.
+// manageKeys drops expired leases, plans moves and sends the orders that are due.
 func (c *Coordinator) manageKeys(now time.Time) {
 	l := c.lead
 	if c.view.Config == nil || !c.observer.Complete() {
@@ -72,9 +73,9 @@
 	}
 }
 
-// recentlyConfirmedAt returns the uptime at which this VM was last confirmed as the leader, or
-// 0 if that is too long ago. An answer of the store may arrive so late that another leader
-// has moved keys in the meantime.
+// recentlyConfirmedAt returns the uptime at which this VM was last confirmed as the leader,
+// or 0 if that is too long ago. An answer of the store may arrive so late that another
+// leader has moved keys in the meantime.
 func (c *Coordinator) recentlyConfirmedAt() time.Duration {
 	at := c.confirmedAt()
 	if c.config.Uptime()-at > maxConfirmationReports*c.reportInterval() {
@@ -111,8 +112,8 @@
 	}
 }
 
-// plan returns the moves of a service. Once per tidyEvery it joins slices, if any can
-// be joined.
+// plan returns the moves of a service. Once per tidyInterval it joins slices, if any
+// can be joined.
 func (l *leadership) plan(current []fleet.Slice, owners []keyspace.Owner, load *keyspace.Load, now time.Time) []keyspace.Move {
 	if !now.Before(l.tidyAt) {
 		l.tidyAt = now.Add(tidyInterval)
@@ -183,8 +184,8 @@
 }
 
 // applyMoves replaces the slices of a service with those that were written to the record.
-// Slices that move have one of the planned fences; for the others, what has changed
-// during the write is kept. If other slices were assigned fences above the planned ones
+// Slices that move have one of the planned fences; for the others, changes during the
+// write are kept. If other slices were assigned fences above the planned ones
 // during the write, the moved slices get new fences as well: a release needs a higher
 // fence than the one that the former owner has.
 func (lt *leaseTable) applyMoves(service string, written []fleet.Slice, planned fenceRange) {
@@ -323,8 +324,8 @@
 	})
 }
 
-// logOrder logs the result of an order, except for renewals that changed nothing. higher
-// is the new fence that the slice was assigned, or 0.
+// logOrder logs the result of an order, except for renewals that changed nothing. newFence
+// is the fence that the slice was newly assigned, or 0.
 func (c *Coordinator) logOrder(t task, err error, took time.Duration, changed bool, newFence uint64) {
 	if err == nil && !changed && !t.release {
 		return
--- a/internal/process/coordinator/listpart.go
+++ b/internal/process/coordinator/listpart.go
@@ -28,8 +28,8 @@
 type listPart[T any] struct {
 	current T
 	digest  uint64
-	// bases are the recent lists by digest, including the present one; order has their
-	// digests, the oldest first.
+	// bases are the recent lists by digest, including the current one. baseOrder has
+	// their digests, the oldest first.
 	bases     map[uint64]T
 	baseOrder []uint64
 	// encoded are the encoded differences by the digest of their base. They are no older
@@ -45,7 +45,7 @@
 	return listPart[T]{bases: map[uint64]T{}, encoded: map[uint64]*peerv1.Part{}, diff: difference}
 }
 
-// set replaces the present list.
+// set replaces the current list.
 func (p *listPart[T]) set(list T, digest uint64) {
 	p.current = list
 	if digest == p.digest {
--- a/internal/process/coordinator/parts.go
+++ b/internal/process/coordinator/parts.go
@@ -14,13 +14,14 @@
 
 const (
 	// detailInterval is the minimum time between two messages to one VM with the owners of
-	// keys or the list of VMs. largePause is the same in a large fleet. The broker
-	// learns of new owners at once; other VMs use them only while they cannot reach it.
+	// keys or the list of VMs. largeFleetDetailInterval is the same in a large fleet.
+	// The broker learns of new owners at once; other VMs use them only while they
+	// cannot reach it.
 	detailInterval           = time.Second
 	largeFleetDetailInterval = 2 * time.Second
-	// sliceVersionInterval is the minimum time between two versions of the slices. keptLists
-	// versions must span more than largePause, so that a VM's version is still a base
-	// for differences.
+	// sliceVersionInterval is the minimum time between two versions of the slices. maxBases
+	// versions must span more than largeFleetDetailInterval, so that a VM's version is
+	// still a base for differences.
 	sliceVersionInterval = 250 * time.Millisecond
 )
 
@@ -34,9 +35,10 @@
 	slices  listPart[sliceSet]
 	members listPart[memberSet]
 
-	// latestSlices are the latest slices; newOwned is set if they are not in the slices part
-	// yet. They change with every confirmed grant, so they become a new version of the
-	// part only if the last one, made at slicesSet, is older than slicesAge.
+	// latestSlices are the current slices; slicesPending is set if they are not in the
+	// slices part yet. They change with every confirmed grant, so they become a new
+	// version of the part only if the last one, made at slicesSetAt, is at least
+	// sliceVersionInterval old.
 	latestSlices  sliceSet
 	slicesPending bool
 	slicesSetAt   time.Time
--- a/internal/process/coordinator/target_test.go
+++ b/internal/process/coordinator/target_test.go
@@ -32,8 +32,8 @@
 	until time.Time
 }
 
-// highestGrant is the highest fence at which a key was granted, and the process that received
-// that grant.
+// highestGrant is the highest fence at which a key was granted, and the process that
+// received that grant.
 type highestGrant struct {
 	fence uint64
 	life  fleet.Life
@@ -45,7 +45,7 @@
 // startTarget starts and registers a target.
 func (w *world) startTarget(id string) { w.put("servers/"+id, w.startTargetAt(id, id).Target) }
 
-// startTargetAt starts a target without registering it. place gives its address and failure
+// startTargetAt starts a target without registering it. host gives its address and failure
 // domain; another process that runs at the address is ended first.
 func (w *world) startTargetAt(host, id string) *fakeTarget {
 	target := &fakeTarget{Target: fleet.Target{
@@ -130,9 +130,9 @@
 	return "handover", err
 }
 
-// deliver delivers an deliver to a target: immediately, late and without an answer, or not at
-// all. If process is not nil, the deliver goes to it over an open connection, otherwise over
-// a new one to the target's address. lost is called if the deliver gets no answer.
+// deliver delivers an order to a target: immediately, late and without an answer, or not
+// at all. If process is not nil, the order goes to it over an open connection, otherwise
+// over a new one to the target's address. lost is called if the order gets no answer.
 func (n *node) deliver(ctx context.Context, to fleet.Target, process *fakeTarget, apply func(*fakeTarget, time.Time) error, lost func()) error {
 	time.Sleep(2 * time.Millisecond)
 	w := n.world
@@ -171,7 +171,7 @@
 	return apply(target, time.Now())
 }
 
-// openConnection waits for as long as it takes to openConnection a connection to an address.
+// openConnection waits for as long as it takes to open a connection to an address.
 func (w *world) openConnection(ctx context.Context, from, address string) {
 	w.mu.Lock()
 	takes := max(w.openings[address], w.openings[from+">"+address])
@@ -273,8 +273,8 @@
 	}
 }
 
-// checkNoOtherHolder checks that no other running target holds a key that was granted to owner, or
-// has had it at the same or a higher fence. The caller holds w.mu.
+// checkNoOtherHolder checks that no other running target holds a key that was granted to
+// owner, or has had it at the same or a higher fence. The caller holds w.mu.
 func (w *world) checkNoOtherHolder(i int, owner *fakeTarget) {
 	now := time.Now()
 	for id, other := range w.targets {
@@ -305,7 +305,7 @@
 	return held
 }
 
-// heldCount returns how many of the sampled keys are heldCount by a running target.
+// heldCount returns how many of the sampled keys are held by a running target.
 func (w *world) heldCount() int {
 	count := 0
 	for _, held := range w.heldKeys() {
--- a/internal/process/coordinator/witness.go
+++ b/internal/process/coordinator/witness.go
@@ -12,7 +12,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// If connections to a port are refused, its process has ended, or a network partition
+// If a port refuses connections, its process has ended, or a network partition
 // refuses connections instead of dropping packets. While a failure domain is cut off,
 // only a VM inside it can tell the two apart.
 
@@ -33,8 +33,8 @@
 	near, far []string
 }
 
-// chooseWitnesses chooses VMs to ask about a port in a failure domain, other than this VM
-// and without.
+// chooseWitnesses chooses VMs to ask about a port in a failure domain. They do not include
+// this VM and exclude.
 func (c *Coordinator) chooseWitnesses(domain string, known *fleet.View, exclude string) witnesses {
 	w := witnesses{selfNear: domain == c.config.Self.FailureDomain}
 	for vm, m := range known.Members {
@@ -98,9 +98,9 @@
 	}}})
 }
 
-// checkTargetEnded checks whether a target whose port refuses connections has ended. A leaving
-// target closes its port before its last requests have completed. Until they have, it
-// counts as running and its keys are not granted to others, for at most as long as its
+// checkTargetEnded checks whether a target whose port refuses connections has ended. A
+// leaving target closes its port before its last requests have completed. Until they have,
+// it counts as running and its keys are not granted to others, for at most as long as its
 // grants last.
 func (c *Coordinator) checkTargetEnded(life fleet.Life) {
 	l, target := c.lead, c.view.Targets[life.ID]
