--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -157,15 +157,15 @@
 // writeMoves writes moves to the record and starts them once they are written.
 func (c *Coordinator) writeMoves(service string, current []fleet.Slice, moves []keyspace.Move) {
 	l := c.lead
-	first := l.keeper.fences.next
+	firstFence := l.keeper.fences.next
 	list := keyspace.Apply(current, moves, l.keeper.fences.allocate)
-	planned := l.keeper.fences.next
+	nextFence := l.keeper.fences.next
 	c.write(l.next(service, list), func(err error) {
 		if err != nil {
 			events.MovesNotWritten.Log(c.config.Logger).Str("service", service).Int("moves", len(moves)).Err(err).Send()
 			return
 		}
-		c.beginMoves(service, moves, fenceRange{first, planned - 1})
+		c.beginMoves(service, moves, fenceRange{firstFence, nextFence - 1})
 	})
 }
 
@@ -189,7 +189,7 @@
 // during the write, the moved slices get new fences as well: a release needs a higher
 // fence than the one that the former owner has.
 func (lt *leaseTable) applyMoves(service string, written []fleet.Slice, planned fenceRange) {
-	live := lt.slices[service]
+	current := lt.slices[service]
 	lt.slices[service] = append([]fleet.Slice(nil), written...)
 	for i := range lt.slices[service] {
 		s := &lt.slices[service][i]
@@ -202,7 +202,7 @@
 			}
 			continue
 		}
-		if known := fleet.Find(live, s.First); known != nil && known.Owner == s.Owner {
+		if known := fleet.Find(current, s.First); known != nil && known.Owner == s.Owner {
 			lt.copyProgress(s, known)
 		}
 	}
@@ -211,11 +211,11 @@
 
 // copyProgress copies the current state of a slice to its written form, or to a part
 // of the slice.
-func (lt *leaseTable) copyProgress(s, known *fleet.Slice) {
-	s.Fence, s.From, s.Ready = known.Fence, known.From, known.Ready
-	if at, confirmed := lt.confirmedAt[idOf(known)]; confirmed {
+func (lt *leaseTable) copyProgress(s, current *fleet.Slice) {
+	s.Fence, s.From, s.Ready = current.Fence, current.From, current.Ready
+	if at, confirmed := lt.confirmedAt[idOf(current)]; confirmed {
 		lt.confirmedAt[idOf(s)] = at
-		lt.readySince[idOf(s)] = lt.readySince[idOf(known)]
+		lt.readySince[idOf(s)] = lt.readySince[idOf(current)]
 	}
 }
 
--- a/internal/process/coordinator/leasetable.go
+++ b/internal/process/coordinator/leasetable.go
@@ -169,10 +169,10 @@
 
 // adoptReady marks slices as ready that the former leader published as ready, and makes
 // their renewals due now.
-func (lt *leaseTable) adoptReady(known map[string][]fleet.Slice, now time.Time) {
+func (lt *leaseTable) adoptReady(published map[string][]fleet.Slice, now time.Time) {
 	for service, list := range lt.slices {
 		for i := range list {
-			s := fleet.Find(known[service], list[i].First)
+			s := fleet.Find(published[service], list[i].First)
 			list[i].Ready = s != nil && s.Owner == list[i].Owner && s.Ready && len(list[i].From) == 0
 			if list[i].Ready {
 				lt.confirmedAt[idOf(&list[i])] = now.Add(-renewInterval)
@@ -388,7 +388,7 @@
 // grantDone records a completed grant that may have reached the target, so that the
 // target may hold the keys for as long as a grant lasts. ok is set if the target
 // confirmed it. The result reports whether the slice became ready.
-func (lt *leaseTable) grantDone(t task, ok bool, now time.Time) bool {
+func (lt *leaseTable) grantDone(t task, confirmed bool, now time.Time) bool {
 	lt.removeInFlight(t)
 	lt.grantedAfterEnd[t.target] = lt.grantedAfterEnd[t.target] || lt.endedTargets[t.target]
 	if !t.fenceSent {
@@ -400,7 +400,7 @@
 		lt.extendLease(life, until)
 		life, known = lt.successors[life]
 	}
-	if !ok {
+	if !confirmed {
 		lt.retryAt[t.order] = now.Add(orderRetryDelay)
 		return false
 	}
--- a/internal/process/coordinator/listpart.go
+++ b/internal/process/coordinator/listpart.go
@@ -41,8 +41,8 @@
 	diff func(former, present T, now time.Time) proto.Message
 }
 
-func newListPart[T any](difference func(former, present T, now time.Time) proto.Message) listPart[T] {
-	return listPart[T]{bases: map[uint64]T{}, encoded: map[uint64]*peerv1.Part{}, diff: difference}
+func newListPart[T any](diff func(former, present T, now time.Time) proto.Message) listPart[T] {
+	return listPart[T]{bases: map[uint64]T{}, encoded: map[uint64]*peerv1.Part{}, diff: diff}
 }
 
 // set replaces the current list.
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -82,7 +82,7 @@
 	first := manyTargets(200)
 	p.setTargets(first, nil)
 	full := p.targets.since(0, now)
-	has, _ := applyTargets(received(t, full, &peerv1.TargetList{}), nil, now)
+	vmList, _ := applyTargets(received(t, full, &peerv1.TargetList{}), nil, now)
 	base := p.targets.digest
 
 	second := withChange(first, "i-00000007", func(t *fleet.Target) { t.Leaving = true })
@@ -90,7 +90,7 @@
 	p.setTargets(second, map[string]bool{"b": true})
 	difference := p.targets.since(base, now)
 	assert.Assert(t, proto.Size(difference) < 150, "%d bytes", proto.Size(difference))
-	got, evacuated := applyTargets(received(t, difference, &peerv1.TargetList{}), has, now)
+	got, evacuated := applyTargets(received(t, difference, &peerv1.TargetList{}), vmList, now)
 	assert.Equal(t, len(got), 199)
 	assert.Assert(t, got["i-00000007"].Leaving && got["i-00000003"] == nil && evacuated["b"])
 	assert.Equal(t, digestTargets(got, evacuated), p.targets.digest)
@@ -109,9 +109,9 @@
 	}
 	present := manySlices(3000)
 	publish(present)
-	whole := p.slices.since(0, now)
-	has, have := applySlices(received(t, whole, &peerv1.SliceList{}), nil), p.slices.digest
-	assert.Equal(t, digestSlices(has), have)
+	full := p.slices.since(0, now)
+	vmList, vmDigest := applySlices(received(t, full, &peerv1.SliceList{}), nil), p.slices.digest
+	assert.Equal(t, digestSlices(vmList), vmDigest)
 
 	random := rand.New(rand.NewPCG(1, 2))
 	fence := uint64(len(present["service"]))
@@ -136,15 +136,15 @@
 		}
 		present = sliceSet{"service": list}
 		publish(present)
-		difference := p.slices.since(have, now)
-		assert.Assert(t, difference.Base == have && proto.Size(difference) < 200, "%d bytes", proto.Size(difference))
-		has, have = applySlices(received(t, difference, &peerv1.SliceList{}), has), p.slices.digest
-		assert.Equal(t, digestSlices(has), have)
+		difference := p.slices.since(vmDigest, now)
+		assert.Assert(t, difference.Base == vmDigest && proto.Size(difference) < 200, "%d bytes", proto.Size(difference))
+		vmList, vmDigest = applySlices(received(t, difference, &peerv1.SliceList{}), vmList), p.slices.digest
+		assert.Equal(t, digestSlices(vmList), vmDigest)
 	}
 
 	publish(sliceSet{"other": present["service"][:7]})
-	has = applySlices(received(t, p.slices.since(have, now), &peerv1.SliceList{}), has)
-	assert.Equal(t, digestSlices(has), p.slices.digest)
+	vmList = applySlices(received(t, p.slices.since(vmDigest, now), &peerv1.SliceList{}), vmList)
+	assert.Equal(t, digestSlices(vmList), p.slices.digest)
 }
 
 // TestOwnersAreNotSentForEachConfirmation: while grants are confirmed one by one, the
@@ -172,17 +172,17 @@
 	p := newParts()
 	members, brokers := manyMembers(300), map[string]string{"a": "edge-000", "b": "edge-000"}
 	p.setMembers(members, brokers)
-	has, have := applyMembers(received(t, p.members.since(0, now), &peerv1.MemberList{}), memberSet{}), p.members.digest
+	vmList, vmDigest := applyMembers(received(t, p.members.since(0, now), &peerv1.MemberList{}), memberSet{}), p.members.digest
 
 	members = maps.Clone(members)
 	delete(members, "edge-007")
 	members["edge-300"] = fleet.Member{VM: "edge-300", Incarnation: "1", Address: "10.0.0.1:7000"}
 	p.setMembers(members, map[string]string{"a": "edge-001"})
-	difference := p.members.since(have, now)
-	assert.Assert(t, difference.Base == have && proto.Size(difference) < 150, "%d bytes", proto.Size(difference))
-	has = applyMembers(received(t, difference, &peerv1.MemberList{}), has)
-	assert.DeepEqual(t, has.members, members)
-	assert.DeepEqual(t, has.brokers, map[string]string{"a": "edge-001"})
+	difference := p.members.since(vmDigest, now)
+	assert.Assert(t, difference.Base == vmDigest && proto.Size(difference) < 150, "%d bytes", proto.Size(difference))
+	vmList = applyMembers(received(t, difference, &peerv1.MemberList{}), vmList)
+	assert.DeepEqual(t, vmList.members, members)
+	assert.DeepEqual(t, vmList.brokers, map[string]string{"a": "edge-001"})
 }
 
 // TestUnknownBaseGetsEverything: a VM whose list is unknown, or too old, is sent the full
@@ -338,16 +338,16 @@
 // TestLostRenewalsOfAnEndedTargetHoldNothing: a renewal without an answer was sent to the
 // process that has ended, while a grant at a new fence may have reached the next one.
 func TestLostRenewalsOfAnEndedTargetHoldNothing(t *testing.T) {
-	for _, again := range []bool{true, false} {
+	for _, fenceSent := range []bool{true, false} {
 		asked := time.Now()
 		life := fleet.Life{ID: "a", Born: 1}
 		lt := newLeaseTable(map[string][]fleet.Slice{"s": {{Last: 65535, Owner: life}}}, fencesAfter(&fleet.Record{}), defaultLeaseDuration)
 		lt.setSoleLeader(asked.Add(-time.Minute))
 		due := lt.dueTasks(asked, 0)[0]
-		due.fenceSent = again
+		due.fenceSent = fenceSent
 		lt.grantDone(due, false, asked.Add(time.Millisecond))
 		lt.markEnded(life, asked)
-		assert.Equal(t, lt.mayHold(life, asked.Add(time.Second)), !again)
+		assert.Equal(t, lt.mayHold(life, asked.Add(time.Second)), !fenceSent)
 	}
 }
 
--- a/internal/process/coordinator/target_test.go
+++ b/internal/process/coordinator/target_test.go
@@ -174,11 +174,11 @@
 // openConnection waits for as long as it takes to open a connection to an address.
 func (w *world) openConnection(ctx context.Context, from, address string) {
 	w.mu.Lock()
-	takes := max(w.openings[address], w.openings[from+">"+address])
+	duration := max(w.openings[address], w.openings[from+">"+address])
 	w.opening[address]++
 	w.mu.Unlock()
 	select {
-	case <-time.After(takes):
+	case <-time.After(duration):
 	case <-ctx.Done():
 	}
 	w.set(func() { w.opening[address]-- })
--- a/internal/process/coordinator/witness.go
+++ b/internal/process/coordinator/witness.go
@@ -35,9 +35,9 @@
 
 // chooseWitnesses chooses VMs to ask about a port in a failure domain. They do not include
 // this VM and exclude.
-func (c *Coordinator) chooseWitnesses(domain string, known *fleet.View, exclude string) witnesses {
+func (c *Coordinator) chooseWitnesses(domain string, view *fleet.View, exclude string) witnesses {
 	w := witnesses{selfNear: domain == c.config.Self.FailureDomain}
-	for vm, m := range known.Members {
+	for vm, m := range view.Members {
 		switch {
 		case vm == c.config.Self.VM || vm == exclude:
 		case m.FailureDomain == domain && len(w.near) < nearWitnesses:
