--- a/internal/process/coordinator/leasetable.go
+++ b/internal/process/coordinator/leasetable.go
@@ -386,8 +386,8 @@
 }
 
 // grantDone records a completed grant that may have reached the target, so that the
-// target may hold the keys for as long as a grant lasts. ok is set if the target
-// confirmed it. The result reports whether the slice became ready.
+// target may hold the keys for as long as a grant lasts. confirmed is set if
+// the target confirmed it. The result reports whether the slice became ready.
 func (lt *leaseTable) grantDone(t task, confirmed bool, now time.Time) bool {
 	lt.removeInFlight(t)
 	lt.grantedAfterEnd[t.target] = lt.grantedAfterEnd[t.target] || lt.endedTargets[t.target]
