--- a/internal/process/coordinator/leasetable.go
+++ b/internal/process/coordinator/leasetable.go
@@ -44,6 +44,7 @@
 // the store before the first release is sent. A fence is accepted by one process
 // only (see fenceRange).
 type leaseTable struct {
+	// slices are the slices of each service, sorted by key.
 	slices map[string][]fleet.Slice
 	// mayHoldUntil is when the last grant that a target may have received expires.
 	mayHoldUntil map[fleet.Life]time.Time
