--- a/internal/version/keyspace/apply.go
+++ b/internal/version/keyspace/apply.go
@@ -7,8 +7,9 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// Apply returns the slices after moves, each moved part at a fence of its own.
-// nextFence returns a fence above every other.
+// Apply returns the slices after moves; current is left unchanged. Each moved
+// range gets its own fence from nextFence, which must return a fence higher than
+// any issued before.
 func Apply(current []fleet.Slice, moves []Move, nextFence func() uint64) []fleet.Slice {
 	current = slices.Clone(current)
 	for _, m := range moves {
@@ -24,7 +25,7 @@
 	return current
 }
 
-// exactly returns the slice that a move is about as a whole, or nil.
+// exactly returns the slice whose range is that of the move, or nil.
 func exactly(current []fleet.Slice, m Move) *fleet.Slice {
 	if s := fleet.Find(current, m.First); s != nil && s.First == m.First && s.Last == m.Last {
 		return s
@@ -32,8 +33,8 @@
 	return nil
 }
 
-// give makes a target the owner of a slice. The former owner has to release it
-// first, unless it is the same.
+// give makes a target the owner of a slice. Unless it owns the slice already, the
+// former owner has to release the slice first.
 func give(s *fleet.Slice, to fleet.Life, fence uint64) {
 	if s.Owner != to {
 		s.From = withLife(s.From, s.Owner)
@@ -41,6 +42,8 @@
 	s.Owner, s.Fence, s.Ready = to, fence, false
 }
 
+// applyOne assigns the range of a move, splitting the slices that it overlaps in
+// part.
 func applyOne(current []fleet.Slice, m Move, fence uint64) []fleet.Slice {
 	var result []fleet.Slice
 	placed := false
@@ -72,7 +75,7 @@
 	return result
 }
 
-// withLife returns a list with one more life, without repetition.
+// withLife returns a copy of lives that contains life once.
 func withLife(lives []fleet.Life, life fleet.Life) []fleet.Life {
 	result := append([]fleet.Life(nil), lives...)
 	if slices.Contains(result, life) {
@@ -81,8 +84,8 @@
 	return append(result, life)
 }
 
-// joinSlices replaces the slices of a range that one owner holds by one slice.
-// It changes nothing unless the owner holds them all.
+// joinSlices replaces the slices of a range by a single one. It changes nothing
+// unless the owner named by the move holds them all and none is still moving.
 func joinSlices(current []fleet.Slice, m Move, fence uint64) []fleet.Slice {
 	first := slices.IndexFunc(current, func(s fleet.Slice) bool { return s.First == m.First })
 	last := slices.IndexFunc(current, func(s fleet.Slice) bool { return s.Last == m.Last })
--- a/internal/version/keyspace/balance.go
+++ b/internal/version/keyspace/balance.go
@@ -7,22 +7,24 @@
 )
 
 const (
-	// imbalance is the utilisation relative to the mean above which a target
-	// gives keys away.
+	// imbalance is the utilisation, relative to the mean, from which an owner is
+	// relieved of keys.
 	imbalance = 1.25
-	// idleUtilisation is the utilisation below which imbalance does not matter.
+	// idleUtilisation is the utilisation below which an owner is not relieved merely
+	// because others are utilised less.
 	idleUtilisation = 0.25
-	// maxMoves bounds the moves of one plan, so that a set of a hundred hot keys is
-	// spread by three plans.
+	// maxMoves limits the moves of one plan; a set of a hundred hot keys is spread
+	// by three plans.
 	maxMoves = 40
-	// fasterBy is how much more an owner must be able to do than another to be
-	// given a key that is more than either can bear; capacities are measured and
-	// vary by a third.
+	// fasterBy is the least ratio of the capacities of two owners at which a key that
+	// exceeds the capacity of the slower one is moved to the faster one. Estimated
+	// capacities vary by a third, which must not cause moves.
 	fasterBy = 1.6
 )
 
-// balance relieves the busiest owners. One that cannot be relieved, such as the
-// owner of a single hot key, does not keep the others from it.
+// balance relieves the busiest owners and gives keys to owners without any. An
+// owner that cannot be relieved, such as that of a single hot key, is skipped, so
+// that it does not hold up the others.
 func (p *plan) balance() {
 	for len(p.moves) < maxMoves {
 		from := p.hottest.first(nil)
@@ -35,13 +37,14 @@
 	}
 }
 
-// isHot reports whether an owner has so much to do that it is relieved.
+// isHot reports whether an owner is utilised so highly that it is to be relieved.
 func (p *plan) isHot(o *share) bool {
 	return o.utilisation() >= imbalance*p.mean && o.utilisation() >= idleUtilisation
 }
 
-// promote gives keys that alone are more than their owner can bear to the owner
-// that can do most. That one is relieved of its other keys by the next plan.
+// promote moves each key whose demand alone exceeds its owner's capacity to the
+// owner with the highest capacity. The next plan relieves that owner of its other
+// keys.
 func (p *plan) promote() {
 	for _, i := range p.byDemand(func(c *piece) bool { return !c.fixed }) {
 		from := p.owners[p.pieces[i].owner]
@@ -60,8 +63,8 @@
 	}
 }
 
-// fastest returns the owner with the highest capacity among those that have no
-// key alone that is more than they can bear; nil if there is none.
+// fastest returns the owner with the highest capacity, leaving out owners of a
+// piece of a single key whose demand exceeds their capacity; nil if there is none.
 func (p *plan) fastest() *share {
 	taken := map[fleet.Life]bool{}
 	for i := range p.pieces {
@@ -82,15 +85,16 @@
 	return found
 }
 
-// relieve moves keys from one owner to another and reports whether it could.
+// relieve moves keys from one owner to another and reports whether it found a part
+// that is worth a move.
 func (p *plan) relieve(from, to *share) bool {
-	// Equal utilisation of the two is the most that a move may bring about.
+	// Moving this demand makes the two equally utilised; a move must not exceed it.
 	even := (from.demand*to.Capacity - to.demand*from.Capacity) / (from.Capacity + to.Capacity)
 	excess := min(from.demand-p.mean*from.Capacity, max(aimAt*p.mean*to.Capacity-to.demand, 0))
 	excess = min(max(excess, 0), even)
 	least := minPart
 	if to.pieces == 0 {
-		// A target without keys serves nobody, however little there is to do.
+		// A target without keys is of no use, however low the load is.
 		excess, least = max(excess, even/2), 0
 	}
 	candidates := p.movableOf(from)
@@ -101,7 +105,8 @@
 			}
 		}
 	}
-	// The busiest keys may be more than what fits below the mean.
+	// The busiest keys may have more demand than the receiver can take below the
+	// mean. Fall back to the smallest part at either end that is worth a move.
 	for _, i := range candidates {
 		cut, ok := p.shortest(p.pieces[i], even)
 		if whole := cut.first == p.pieces[i].first && cut.last == p.pieces[i].last; ok && (!whole || from.pieces > 1) {
@@ -112,8 +117,9 @@
 	return false
 }
 
-// shortest returns the shortest end of a piece that is worth a move; false if
-// that has more than the demand.
+// shortest returns the shortest prefix or suffix of a piece that is worth a move,
+// whichever has less demand; false if it is below the minimum or above the given
+// demand.
 func (p *plan) shortest(source piece, demand float64) (piece, bool) {
 	head := piece{first: source.first, last: source.first, demand: float64(p.load.keys[source.first])}
 	for head.demand < minPart && head.last < source.last {
@@ -132,7 +138,9 @@
 	return cut, cut.demand >= minPart && cut.demand <= demand
 }
 
-// cutFrom moves the end of a piece that comes closest to the excess.
+// cutFrom moves the prefix or the suffix of a piece whose demand comes closest to
+// excess without exceeding it, or the whole piece if its demand is little more. It
+// reports whether it moved anything.
 func (p *plan) cutFrom(i int, excess, least float64, from, to *share) bool {
 	source := p.pieces[i]
 	if source.demand <= excess*1.1 && from.pieces > 1 {
@@ -150,7 +158,7 @@
 	return headOK || tailOK
 }
 
-// cut moves an end of a piece, or all of it.
+// cut moves a prefix or suffix of a piece, or all of it.
 func (p *plan) cut(i int, end piece, from, to *share) {
 	source := &p.pieces[i]
 	p.move(end.first, end.last, end.demand, from, to)
@@ -169,7 +177,7 @@
 	p.pieces = append(p.pieces, piece{first: end.first, last: end.last, owner: to.Life, demand: end.demand, fixed: true})
 }
 
-// suffix is prefix from the other end.
+// suffix is like prefix, from the other end of the piece.
 func (p *plan) suffix(source piece, demand, least float64) (piece, bool) {
 	stop, taken := p.longest(int(source.last), int(source.first), -1, demand)
 	return piece{first: uint16(stop + 1), last: source.last, demand: taken}, stop < int(source.last) && taken >= least
--- a/internal/version/keyspace/bench_test.go
+++ b/internal/version/keyspace/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/keyspace"
 )
 
-// BenchmarkPlan plans while one key is hotter than any owner can bear and a set of
-// hot keys moves; the leader does so four times a second.
+// BenchmarkPlan measures a plan while the demand for one key exceeds the capacity of
+// any owner and a set of hot keys moves. The leader plans four times a second.
 func BenchmarkPlan(b *testing.B) {
 	for _, count := range []int{14, 99, 1600} {
 		b.Run(fmt.Sprint(count, " owners"), func(b *testing.B) {
--- a/internal/version/keyspace/load.go
+++ b/internal/version/keyspace/load.go
@@ -1,8 +1,9 @@
-// Package keyspace decides which target owns which keys.
+// Package keyspace plans which target owns which keys of a keyed service.
 //
-// It answers uneven and changing demand: a few busy keys that lie close to
-// one another, a hot key set that appears within a second, targets that join
-// empty, slow down, leave or are lost. It works on values alone.
+// It handles uneven and changing demand: a few busy keys close to one another,
+// a set of hot keys that appears within a second, and targets that join without
+// keys, slow down, leave or fail. It does no input or output and takes the time
+// as an argument.
 package keyspace
 
 import (
@@ -12,29 +13,30 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// halfLife is the half-life of the measured demand: short enough to follow a
-// hot key within a second, long enough not to follow noise.
+// halfLife is the half-life of the demand of a key: short enough to follow a hot
+// key within a second, long enough to smooth out noise.
 const halfLife = 1500 * time.Millisecond
 
-// idleKey is what a key counts for that nobody asks for, so that keys without
-// demand are divided by their number.
+// idleKey is the demand assumed for a key without requests, in seconds of work
+// per second, so that idle keys are divided among owners by their number.
 const idleKey = 1e-9
 
-// Load is the recent demand for each key of a service, in seconds of work a second.
+// Load is the recent demand for each key of a service, in seconds of work
+// per second. It decays exponentially.
 type Load struct {
 	keys    [fleet.Keys]float32
 	fadedAt time.Time
 }
 
-// NewLoad returns a load without demand.
+// NewLoad returns a load without demand that decays from now on.
 func NewLoad(now time.Time) *Load { return &Load{fadedAt: now} }
 
-// Add counts a request for a key that takes work seconds.
+// Add records a request for a key that takes work seconds.
 func (l *Load) Add(key uint16, work float64) {
 	l.keys[key] += float32(work * math.Ln2 / halfLife.Seconds())
 }
 
-// Fade lets the demand fade up to now; it is called before a plan.
+// Fade decays the demand up to now. It is called before each Plan or Tidy.
 func (l *Load) Fade(now time.Time) {
 	keep := float32(math.Exp2(-now.Sub(l.fadedAt).Seconds() / halfLife.Seconds()))
 	l.fadedAt = now
@@ -43,7 +45,7 @@
 	}
 }
 
-// of returns the demand for a range of keys.
+// of returns the total demand for the keys from first to last, inclusive.
 func (l *Load) of(first, last uint16) float64 {
 	sum := float32(0)
 	for _, value := range l.keys[first : int(last)+1] {
@@ -52,7 +54,8 @@
 	return float64(sum) + idleKey*float64(int(last)-int(first)+1)
 }
 
-// above returns the sum of what keys of a range have beyond a demand.
+// above returns the demand that single keys of a range have in excess of a limit,
+// summed over the range.
 func (l *Load) above(demand float64, first, last uint16) float64 {
 	sum := 0.0
 	for _, value := range l.keys[first : int(last)+1] {
--- a/internal/version/keyspace/plan.go
+++ b/internal/version/keyspace/plan.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// aimAt is the utilisation relative to the mean up to which a target is
-	// filled by a move.
+	// aimAt is the utilisation, relative to the mean, up to which moves fill an
+	// owner.
 	aimAt = 1.02
-	// minPart is the smallest demand worth a move, in seconds of work a second.
+	// minPart is the smallest demand worth a move, in seconds of work per second.
 	minPart = 0.05
 )
 
 // Owner is a target that may own keys.
 type Owner struct {
 	fleet.Life
-	// Capacity is the work that it does in a second, in seconds of work at the
-	// usual speed. 0 means that it has to give up its keys.
+	// Capacity is the work that it can do per second, in seconds of work at normal
+	// speed. 0 means that it has to give up its keys.
 	Capacity float64
 }
 
-// Move passes keys to another owner.
+// Move assigns the keys from First to Last, inclusive, to the target To.
 type Move struct {
 	First, Last uint16
 	To          fleet.Life
-	// Joins is set if To holds all of the keys already and their slices become one.
+	// Joins is set if To owns all of the keys already and their slices are joined
+	// into one.
 	Joins bool
 }
 
-// Initial divides all keys by capacity.
+// Initial returns the moves that divide all keys among the owners in proportion to
+// their capacity.
 func Initial(owners []Owner) []Move {
 	total := 0.0
 	var usable []Owner
@@ -58,9 +60,10 @@
 	return moves
 }
 
-// Plan returns the moves that give the keys of unusable owners to others,
-// relieve the busiest, and give keys that no owner can bear to the fastest.
-// Slices that are on the move stay as they are.
+// Plan returns the moves that rebalance the keys. In this order, it reassigns the
+// keys of owners without capacity, relieves the busiest owners, and gives each key
+// whose demand exceeds its owner's capacity to the fastest owner. Slices that are
+// still moving are left to their present owner if that has capacity.
 func Plan(current []fleet.Slice, owners []Owner, load *Load) []Move {
 	p := newPlan(current, owners, load)
 	if len(p.owners) == 0 {
@@ -72,35 +75,42 @@
 	return p.moves
 }
 
-// plan is the state of one planning.
+// plan is the state of one run of Plan or Tidy.
 type plan struct {
 	load   *Load
 	pieces []piece
 	owners map[fleet.Life]*share
 	moves  []Move
-	mean   float64
-	// empty counts the owners without keys.
+	// mean is the utilisation that all owners would have if demand were divided in
+	// proportion to capacity.
+	mean float64
+	// empty is the number of owners without keys.
 	empty int
-	// hottest ranks the owners that may be relieved, coldest all of them.
+	// hottest ranks the owners with movable pieces by falling utilisation, coldest
+	// ranks all owners by rising utilisation.
 	hottest, coldest ranking
 }
 
-// piece is a part of a slice with its demand.
+// piece is a slice, or a part that the plan has cut from one, with its demand in
+// seconds of work per second.
 type piece struct {
 	first, last uint16
 	owner       fleet.Life
 	demand      float64
-	fixed       bool
+	// fixed is set if the plan must not move the piece: its slice is still moving
+	// or the plan has handled it already.
+	fixed bool
 }
 
-// share is what one owner has.
+// share is the state of one owner during planning.
 type share struct {
 	Owner
 	demand float64
 	pieces int
-	// movable are the indexes of the pieces that the owner may give away.
+	// movable holds the indexes of the owner's pieces that are not fixed.
 	movable []int
-	// hottest and coldest are the owner's places in the rankings.
+	// hottest and coldest are the owner's indexes in the rankings of these names;
+	// -1 if it is not ranked.
 	hottest, coldest int
 }
 
@@ -118,7 +128,8 @@
 	}
 	for _, s := range current {
 		d := load.of(s.First, s.Last)
-		// What nobody can serve of a single key burdens no other owner.
+		// Demand for a single key beyond the highest capacity cannot be served by
+		// any owner, so it does not count towards the mean.
 		demand += d - load.above(most, s.First, s.Last)
 		p.pieces = append(p.pieces, piece{first: s.First, last: s.Last, owner: s.Owner, demand: d, fixed: len(s.From) > 0 || !s.Ready})
 		if o := p.owners[s.Owner]; o != nil {
@@ -136,7 +147,7 @@
 	return p
 }
 
-// rank fills the rankings.
+// rank builds the rankings and counts the owners without keys.
 func (p *plan) rank() {
 	p.hottest = ranking{order{
 		place: func(s *share) *int { return &s.hottest },
@@ -163,8 +174,8 @@
 	}
 }
 
-// rehome gives the pieces of owners that are not usable to others, the busiest
-// first, split where one piece is more than an owner should get.
+// rehome reassigns the pieces of owners without capacity, the busiest first. A
+// piece with more demand than one owner should get is split.
 func (p *plan) rehome() {
 	orphans := p.byDemand(func(c *piece) bool { return p.owners[c.owner] == nil })
 	for _, i := range orphans {
@@ -172,7 +183,7 @@
 	}
 }
 
-// spread divides an orphaned piece between the least busy owners.
+// spread divides a piece without a usable owner among the least utilised owners.
 func (p *plan) spread(rest piece) {
 	for {
 		to := p.coldest.first(nil)
@@ -187,7 +198,7 @@
 	}
 }
 
-// byDemand returns the indexes of some pieces, the busiest first.
+// byDemand returns the indexes of the pieces that match, the busiest first.
 func (p *plan) byDemand(of func(*piece) bool) []int {
 	var found []int
 	for i := range p.pieces {
@@ -211,15 +222,16 @@
 	sort.SliceStable(indexes, func(a, b int) bool { return p.pieces[indexes[a]].demand > p.pieces[indexes[b]].demand })
 }
 
-// prefix returns the longest proper beginning of a piece with at most the
-// demand; false if that has less than the least demand worth a move.
+// prefix returns the longest proper prefix of a piece with at most the given
+// demand; false if it is empty or its demand is below the given minimum.
 func (p *plan) prefix(source piece, demand, least float64) (piece, bool) {
 	stop, taken := p.longest(int(source.first), int(source.last), 1, demand)
 	return piece{first: source.first, last: uint16(stop - 1), demand: taken}, stop > int(source.first) && taken >= least
 }
 
-// longest goes from a key towards another, which it leaves out, for as long as the
-// demand of the keys is at most a limit. It returns where it stopped and the demand.
+// longest walks the keys from one towards another, exclusive, for as long as their
+// total demand is at most limit. It returns the key at which it stopped, which is
+// not included, and the total demand.
 func (p *plan) longest(from, to, step int, limit float64) (stop int, taken float64) {
 	for stop = from; stop != to; stop += step {
 		d := float64(p.load.keys[stop]) + idleKey
@@ -231,7 +243,8 @@
 	return stop, taken
 }
 
-// move adds a move to the plan.
+// move adds a move to the plan and updates both owners; from is nil if the keys had
+// no usable owner.
 func (p *plan) move(first, last uint16, demand float64, from, to *share) {
 	p.moves = append(p.moves, Move{First: first, Last: last, To: to.Life})
 	if to.pieces == 0 {
@@ -246,7 +259,7 @@
 	}
 }
 
-// changed ranks an owner anew whose demand has changed.
+// changed updates the rank of an owner whose demand has changed.
 func (p *plan) changed(o *share) {
 	p.hottest.changed(o)
 	p.coldest.changed(o)
--- a/internal/version/keyspace/plan_test.go
+++ b/internal/version/keyspace/plan_test.go
@@ -20,7 +20,8 @@
 	return list
 }
 
-// world applies plans and lets every move succeed at once.
+// world holds the slices of a service. Moves that are applied to it can be completed
+// at once by settle.
 type world struct {
 	slices []fleet.Slice
 	fence  uint64
@@ -30,6 +31,7 @@
 	w.slices = keyspace.Apply(w.slices, moves, func() uint64 { w.fence++; return w.fence })
 }
 
+// settle completes all moves.
 func (w *world) settle() {
 	for i := range w.slices {
 		w.slices[i].From, w.slices[i].Ready = nil, true
@@ -41,7 +43,7 @@
 	next := 0
 	for _, s := range w.slices {
 		if int(s.First) != next || s.Last < s.First {
-			t.Fatalf("slice %d..%d where %d was to begin", s.First, s.Last, next)
+			t.Fatalf("slice %d..%d, but the next slice should begin at key %d", s.First, s.Last, next)
 		}
 		next = int(s.Last) + 1
 	}
@@ -72,6 +74,7 @@
 	return highest / (total / capacity)
 }
 
+// loadOf returns a load with the given demand for each key.
 func loadOf(now time.Time, demand func(key int) float64) *keyspace.Load {
 	load := keyspace.NewLoad(now)
 	for key := range fleet.Keys {
@@ -82,6 +85,8 @@
 	return load
 }
 
+// rounds plans and completes the moves count times, each fourth time by Tidy if that
+// has any moves, and returns the number of moves.
 func (w *world) rounds(count int, list []keyspace.Owner, demand func(key int) float64) (moves int) {
 	load := loadOf(time.Now(), demand)
 	for i := range count {
@@ -99,7 +104,8 @@
 	return moves
 }
 
-// busySet returns a demand of sixty neighbouring busy keys on top of an even rest.
+// busySet returns a demand of each for sixty adjacent keys from first on, and of rest
+// for every other key.
 func busySet(first int, each, rest float64) func(key int) float64 {
 	return func(key int) float64 {
 		if key >= first && key < first+60 {
@@ -109,7 +115,7 @@
 	}
 }
 
-// withHotKey gives one key another demand.
+// withHotKey returns the demand of others with that of the key hot replaced.
 func withHotKey(hot int, demand float64, others func(key int) float64) func(key int) float64 {
 	return func(key int) float64 {
 		if key == hot {
@@ -121,7 +127,7 @@
 
 func even(int) float64 { return 14.0 / fleet.Keys }
 
-// hotSet puts two fifths of the demand on 200 neighbouring keys.
+// hotSet is a demand of which two fifths fall on 200 adjacent keys.
 func hotSet(key int) float64 {
 	if key >= 5000 && key < 5200 {
 		return 0.6*14.0/fleet.Keys + 0.4*14.0/200
@@ -129,8 +135,8 @@
 	return 0.6 * 14.0 / fleet.Keys
 }
 
-// TestHotSetIsSpread: a hot set that appears on one owner is divided within the
-// two plans that fit into half a second.
+// TestHotSetIsSpread checks that a hot set that appears on one owner is spread within
+// two plans, which is half a second.
 func TestHotSetIsSpread(t *testing.T) {
 	list := owners(14)
 	w := &world{}
@@ -143,7 +149,7 @@
 	assert.Assert(t, before > 4 && after < 1.5, "before %f, after %f of the mean", before, after)
 }
 
-// TestEvenLoadStays: no keys move without need.
+// TestEvenLoadStays checks that no keys move under an even load.
 func TestEvenLoadStays(t *testing.T) {
 	list := owners(14)
 	w := &world{}
@@ -152,8 +158,9 @@
 	assert.Equal(t, w.rounds(3, list, even), 0)
 }
 
-// TestSingleHotKeyStaysAlone: a key that no owner can bear is not passed around,
-// and the other keys of its owner go elsewhere.
+// TestSingleHotKeyStaysAlone checks that a key whose demand exceeds the capacity of any
+// owner is not passed around: moves come to an end once the other keys of its owner
+// have gone elsewhere.
 func TestSingleHotKeyStaysAlone(t *testing.T) {
 	list := owners(8)
 	w := &world{}
@@ -170,8 +177,8 @@
 	assert.Assert(t, moved <= 2, "%d more moves after six plans", moved)
 }
 
-// besides returns the demand of the keys that share an owner with a key, and the
-// highest utilisation of the other owners.
+// besides returns the demand for the other keys of the owner of a key, and the highest
+// utilisation among the other owners.
 func (w *world) besides(key uint16, list []keyspace.Owner, demand func(key int) float64) (shared, highest float64) {
 	by := map[fleet.Life]float64{}
 	for _, s := range w.slices {
@@ -188,9 +195,9 @@
 	return by[holder] - demand(int(key)), highest
 }
 
-// TestHotKeyHoldsUpNobody: one key is asked for more than ten owners could bear.
-// A hot set that then appears elsewhere is spread within a second all the same,
-// and the keys beside the hot one go to other owners.
+// TestHotKeyHoldsUpNobody checks that a key whose demand exceeds the capacity of ten
+// owners does not keep a hot set elsewhere from being spread within a second, and that
+// the other keys of its owner go to other owners.
 func TestHotKeyHoldsUpNobody(t *testing.T) {
 	const hot = 5010
 	list := owners(40)
@@ -202,13 +209,13 @@
 		w.rounds(4, list, demand(set))
 		w.check(t)
 		shared, highest := w.besides(hot, list, demand(set))
-		assert.Check(t, highest <= 0.75, "set at %d: an owner has %f of what it can do, the mean is 0.5", set, highest)
-		assert.Check(t, shared < 0.2, "set at %d: demand of %f shares the owner of the hot key", set, shared)
+		assert.Check(t, highest <= 0.75, "set at %d: an owner is utilised at %f of its capacity, the mean is 0.5", set, highest)
+		assert.Check(t, shared < 0.2, "set at %d: the owner of the hot key has demand of %f for other keys", set, shared)
 	}
 }
 
-// TestHotKeyGoesToTheFastest: a key that is asked for more than its owner can
-// bear is served best by the target that does most.
+// TestHotKeyGoesToTheFastest checks that a key whose demand exceeds its owner's capacity
+// is moved to the owner with the highest capacity.
 func TestHotKeyGoesToTheFastest(t *testing.T) {
 	const hot = 700
 	list := owners(8)
@@ -224,8 +231,8 @@
 	assert.Assert(t, moved <= 2, "%d more moves after four plans", moved)
 }
 
-// TestColdSlicesAreJoined: a hot set that moves around for a long time leaves no
-// more slices behind than a few for each owner, and calm keys stay where they are.
+// TestColdSlicesAreJoined checks that a hot set that moves around for a long time leaves
+// only a few slices per owner behind, and that no keys move once the load is even.
 func TestColdSlicesAreJoined(t *testing.T) {
 	list := owners(14)
 	w := &world{}
@@ -239,12 +246,12 @@
 	}
 	assert.Check(t, most <= 14*12, "%d slices", most)
 	w.rounds(120, list, even)
-	assert.Check(t, len(w.slices) <= 2*14, "%d slices after a calm time", len(w.slices))
+	assert.Check(t, len(w.slices) <= 2*14, "%d slices after a time of even load", len(w.slices))
 	assert.Equal(t, w.rounds(10, list, even), 0)
 }
 
-// TestJoinedSlicesAreHeldByOneOwner: slices are not joined if that has changed
-// since the plan.
+// TestJoinedSlicesAreHeldByOneOwner checks that slices are not joined if, since the
+// plan, one of them has got another owner or begun to move.
 func TestJoinedSlicesAreHeldByOneOwner(t *testing.T) {
 	a, b := fleet.Life{ID: "a"}, fleet.Life{ID: "b"}
 	join := keyspace.Move{First: 0, Last: 99, To: a, Joins: true}
@@ -265,7 +272,8 @@
 	}
 }
 
-// TestLeavingOwnerIsEmptied in one plan, spread over the others.
+// TestLeavingOwnerIsEmptied checks that one plan spreads all keys of an owner without
+// capacity over the others.
 func TestLeavingOwnerIsEmptied(t *testing.T) {
 	list := owners(8)
 	w := &world{}
@@ -280,7 +288,8 @@
 	assert.Assert(t, w.utilisation(list, even) < 1.5, "%f", w.utilisation(list, even))
 }
 
-// TestEmptyOwnerGetsKeys even while the load is low.
+// TestEmptyOwnerGetsKeys checks that an owner that joins gets keys even if the load is
+// low.
 func TestEmptyOwnerGetsKeys(t *testing.T) {
 	list := owners(4)
 	w := &world{}
@@ -296,8 +305,8 @@
 	assert.Assert(t, found)
 }
 
-// TestFormerOwnersAreKept until they are known to hold nothing: a slice that
-// moves on before its move has ended lists both.
+// TestFormerOwnersAreKept checks that former owners stay listed until they are known to
+// hold nothing: a slice that moves again before its move has ended lists both.
 func TestFormerOwnersAreKept(t *testing.T) {
 	a, b, c := fleet.Life{ID: "a"}, fleet.Life{ID: "b"}, fleet.Life{ID: "c"}
 	w := &world{slices: []fleet.Slice{{First: 0, Last: 65535, Owner: a, Fence: 1, Ready: true}}, fence: 1}
@@ -310,8 +319,9 @@
 	assert.Assert(t, w.slices[0].Fence > w.slices[1].Fence && !w.slices[0].Ready)
 }
 
-// TestPlansKeepOneOwner under any sequence of joins, losses and demand; fences
-// rise for every key that changes its owner.
+// TestPlansKeepOneOwner checks that each key has exactly one owner after any sequence of
+// changes of capacity and demand, and that the fence of a key rises whenever its owner
+// changes.
 func TestPlansKeepOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := owners(rapid.IntRange(1, 9).Draw(t, "owners"))
@@ -341,8 +351,9 @@
 	})
 }
 
-// TestOwnerThatKeepsItsKeysReleasesNothing: a slice that its owner gets anew is not
-// taken from anybody; former owners that still have to release it remain.
+// TestOwnerThatKeepsItsKeysReleasesNothing checks that an owner that gets its slice at a
+// new fence is not listed as a former owner; those that still have to release the slice
+// remain listed.
 func TestOwnerThatKeepsItsKeysReleasesNothing(t *testing.T) {
 	owner, former := fleet.Life{ID: "a", Born: 1}, fleet.Life{ID: "b", Born: 1}
 	list := []fleet.Slice{
@@ -360,9 +371,9 @@
 	assert.DeepEqual(t, taken[0].From, []fleet.Life{owner})
 }
 
-// TestGivingEverythingAnewIsQuick: a leader that vouches for nobody gives all slices
-// anew at once. The time grows with the slices, not with their square; the bound is
-// on the ratio, the best of five.
+// TestGivingEverythingAnewIsQuick checks that the time for assigning all slices at new
+// fences, as a leader does that can vouch for no owner, does not grow with the square of
+// their number. The bound is on the ratio of two measurements, each the best of five.
 func TestGivingEverythingAnewIsQuick(t *testing.T) {
 	took := func(count int) time.Duration {
 		var list []fleet.Slice
@@ -380,7 +391,7 @@
 			again := keyspace.Apply(list, moves, func() uint64 { fence++; return fence })
 			best = min(best, time.Since(began))
 			assert.Equal(t, again[count-1].Fence, uint64(2*count))
-			assert.Equal(t, list[count-1].Fence, uint64(count-1), "the list before is unchanged")
+			assert.Equal(t, list[count-1].Fence, uint64(count-1), "Apply must not change its argument")
 		}
 		return best
 	}
--- a/internal/version/keyspace/rank.go
+++ b/internal/version/keyspace/rank.go
@@ -2,27 +2,28 @@
 
 import "container/heap"
 
-// ranking keeps owners in an order that changes with every move. The first of a
-// large number is found without looking at all of them.
+// ranking is a heap of owners whose order changes with every move. It finds the
+// first of many owners without comparing all of them.
 type ranking struct{ order }
 
-// add ranks an owner.
+// add inserts an owner.
 func (r *ranking) add(s *share) { heap.Push(&r.order, s) }
 
-// changed ranks an owner anew, if it is ranked.
+// changed restores the order after the utilisation of an owner has changed. An
+// owner that is not ranked is ignored.
 func (r *ranking) changed(s *share) {
 	if i := *r.place(s); i >= 0 {
 		heap.Fix(&r.order, i)
 	}
 }
 
-// drop takes an owner out.
+// drop removes an owner.
 func (r *ranking) drop(s *share) { heap.Remove(&r.order, *r.place(s)) }
 
-// first returns the first owner other than one, or nil.
+// first returns the first owner except the given one; nil if there is none.
 func (r *ranking) first(other *share) *share {
 	var found *share
-	// Unless it is the other, the first is at 0; otherwise it is right below.
+	// The first owner is the root; if that is excluded, it is one of its children.
 	for i := 0; i < min(3, len(r.shares)); i++ {
 		if s := r.shares[i]; s != other && (found == nil || r.before(s, found)) {
 			found = s
@@ -35,7 +36,8 @@
 type order struct {
 	shares []*share
 	before func(a, b *share) bool
-	// place is where an owner notes its index in shares; -1 if it is not ranked.
+	// place returns where an owner's index in shares is kept; the index is -1 if the
+	// owner is not ranked.
 	place func(*share) *int
 }
 
--- a/internal/version/keyspace/scale_test.go
+++ b/internal/version/keyspace/scale_test.go
@@ -11,7 +11,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/keyspace"
 )
 
-// fewDemanded is little demand for a large fleet: one key of 500 is asked for.
+// fewDemanded is a demand for one key in 500.
 func fewDemanded(key int) float64 {
 	if key%500 == 0 {
 		return 0.05
@@ -21,7 +21,8 @@
 
 func idle(int) float64 { return 0 }
 
-// joined returns a world in which most owners have joined after the keys were divided.
+// joined returns a world whose keys are divided among a fifth of the owners; the others
+// have joined since and have no keys.
 func joined(list []keyspace.Owner) *world {
 	w := &world{}
 	w.apply(keyspace.Initial(list[:len(list)/5]))
@@ -29,9 +30,10 @@
 	return w
 }
 
-// TestCostOfAPlanGrowsAsTheOwners: a leader plans four times a second, on the
-// goroutine that answers all VMs, also while most owners have no keys yet. The bound
-// is on the ratio, measured side by side, the best of ten.
+// TestCostOfAPlanGrowsAsTheOwners checks that the time for a plan does not grow with the
+// square of the number of owners, also while most owners have no keys yet: the leader
+// plans four times a second, on the goroutine that responds to all VMs. The bound is on
+// the ratio of two measurements on the same machine, each the best of ten.
 func TestCostOfAPlanGrowsAsTheOwners(t *testing.T) {
 	for name, demand := range map[string]func(int) float64{"idle": idle, "few keys in demand": fewDemanded, "all keys in demand": even} {
 		t.Run(name, func(t *testing.T) {
@@ -52,8 +54,9 @@
 	}
 }
 
-// TestOwnersThatJoinGetKeysWithoutDemand: nobody asks for any key, so that demand
-// does not tell owners with keys from those without.
+// TestOwnersThatJoinGetKeysWithoutDemand checks that owners that have joined get keys
+// even if no key is in demand, when utilisation does not tell owners with keys from
+// those without.
 func TestOwnersThatJoinGetKeysWithoutDemand(t *testing.T) {
 	list := owners(100)
 	w := joined(list)
@@ -68,5 +71,5 @@
 		widest = max(widest, width)
 	}
 	assert.Check(t, len(widths) == len(list), "%d of %d owners have keys", len(widths), len(list))
-	assert.Check(t, widest <= 4*fleet.Keys/len(list), fmt.Sprintf("one has %d keys", widest))
+	assert.Check(t, widest <= 4*fleet.Keys/len(list), fmt.Sprintf("an owner has %d keys", widest))
 }
--- a/internal/version/keyspace/tidy.go
+++ b/internal/version/keyspace/tidy.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// usualPieces is the number of slices per owner up to which nothing is joined.
+	// usualPieces is the number of slices per owner, on average, up to which nothing
+	// is joined.
 	usualPieces = 2
-	// coldShare is the share of an owner's capacity below which the demand of a
-	// slice counts as cold; joinedShare is the same for slices that become one,
-	// which moves no keys.
+	// coldShare is the fraction of its owner's capacity up to which the demand of a
+	// slice counts as cold. joinedShare is the fraction up to which adjacent slices
+	// of one owner are joined; it is higher since joining moves no keys.
 	coldShare   = 0.1
 	joinedShare = 0.5
-	// maxAbsorbed bounds the moves of one plan that serve only to join slices.
+	// maxAbsorbed limits the moves of one plan whose only purpose is to join slices.
 	maxAbsorbed = 12
 )
 
-// Tidy returns the moves that join slices that have cooled down. Each change of
-// the hot keys cuts slices, and each slice costs a grant at every renewal and a
-// part of the record, which may not grow without bound.
+// Tidy returns the moves that join slices whose demand has dropped. Each change of
+// the hot keys splits slices, and each slice costs a grant at every renewal and
+// space in the record, which must not grow without bound.
 func Tidy(current []fleet.Slice, owners []Owner, load *Load) []Move {
 	p := newPlan(current, owners, load)
 	if len(p.pieces) <= usualPieces*len(p.owners) {
@@ -31,7 +32,8 @@
 	return p.moves
 }
 
-// join turns each run of cold neighbours with one owner into one slice.
+// join joins each run of adjacent slices that have the same owner and little
+// demand.
 func (p *plan) join() {
 	for first := 0; first < len(p.pieces); {
 		last := first
@@ -50,8 +52,8 @@
 	}
 }
 
-// joinable reports whether the pieces of a range may be one slice, given that
-// all but the last may.
+// joinable reports whether the pieces from first to last may be joined, given that
+// those before last may.
 func (p *plan) joinable(first, last int) bool {
 	owner := p.owners[p.pieces[first].owner]
 	if owner == nil || p.pieces[first].fixed || p.pieces[last].fixed || p.pieces[last].owner != owner.Life {
@@ -64,7 +66,8 @@
 	return demand <= joinedShare*owner.Capacity
 }
 
-// absorb gives the narrowest cold slices to the owners of their neighbours.
+// absorb moves the narrowest cold slices to the owners of adjacent slices, so that
+// they can be joined later.
 func (p *plan) absorb() {
 	order := make([]int, 0, len(p.pieces))
 	for i := range p.pieces {
@@ -85,8 +88,8 @@
 	}
 }
 
-// neighbour returns the owner of a wider slice beside a cold one that can take
-// it; nil if there is none.
+// neighbour returns the owner of a wider slice next to the cold slice i that can
+// take it over; nil if there is none or the slice must not move.
 func (p *plan) neighbour(i int) *share {
 	c := p.pieces[i]
 	from := p.owners[c.owner]
@@ -106,8 +109,8 @@
 	return nil
 }
 
-// takes reports whether an owner stays below the utilisation at which it would
-// give keys away.
+// takes reports whether an owner can take over more demand without coming near the
+// utilisation at which it would be relieved of keys.
 func (p *plan) takes(o *share, demand float64) bool {
 	after := (o.demand + demand) / o.Capacity
 	return after <= aimAt*p.mean || after <= idleUtilisation
