--- a/internal/process/observer/observer.go
+++ b/internal/process/observer/observer.go
@@ -1,10 +1,10 @@
-// Package observer watches what the platform declares: the configuration, the
-// targets and the failure domains that are taken out.
+// Package observer watches the platform's declarations in the store: the
+// configuration, the targets and the failure domains that are evacuated.
 //
 // Guarantees: the configuration never goes back to a lower version; an entry
-// that cannot be read changes nothing else; a target whose entry is missing
-// after an outage of the store counts as gone only once the entry had time to
-// come back.
+// that cannot be decoded does not affect the others; a target whose entry is
+// missing after a store outage counts as removed only once the entry has had time
+// to reappear.
 package observer
 
 import (
@@ -22,51 +22,58 @@
 )
 
 const (
-	// returnTime is how long entries take to come back after an outage of the
-	// store: about two seconds by the platform's word.
+	// returnTime is how long entries may take to reappear after a store outage. The
+	// platform documents about two seconds.
 	returnTime = 2300 * time.Millisecond
-	// forgetGone is how long a target that is gone is remembered, so that its
-	// keys can be taken back from it.
+	// forgetGone is how long a removed target is remembered, so that its keys can be
+	// taken back from it.
 	forgetGone = 30 * time.Second
 )
 
-// Names are the prefixes of the watched objects and how they are read.
+// Names holds the store prefixes of the watched objects and their decoders.
 type Names struct {
 	Config, Targets, Evacuations string
-	DecodeConfig                 func(store.Object) (*fleet.Config, error)
-	DecodeTarget                 func(store.Object, time.Time) (*fleet.Target, error)
-	DecodeEvacuation             func(store.Object) string
+
+	DecodeConfig func(store.Object) (*fleet.Config, error)
+	// DecodeTarget decodes a target's entry; the time is the present.
+	DecodeTarget func(store.Object, time.Time) (*fleet.Target, error)
+	// DecodeEvacuation returns the failure domain that an entry evacuates.
+	DecodeEvacuation func(store.Object) string
 }
 
 // Config configures an Observer.
 type Config struct {
-	Names   Names
-	Store   store.Store
-	Loop    *loop.Loop
-	Logger  *zerolog.Logger
+	Names  Names
+	Store  store.Store
+	Loop   *loop.Loop
+	Logger *zerolog.Logger
+	// Changed is called on the loop after each list and each batch of changes.
 	Changed func()
-	// Contact is called on the loop after each call to the store.
+	// Contact is called on the loop after each call to the store, with its error.
 	Contact func(error)
 }
 
-// Observer keeps what was declared. Its methods run on the loop.
+// Observer holds the latest declarations. Its methods must be called on the loop.
 type Observer struct {
 	config Config
 	cancel context.CancelFunc
-	// listed are the prefixes that have been listed since the start.
+	// listed holds the prefixes that have been listed since Start.
 	listed map[string]bool
 
-	current   *fleet.Config
-	targets   map[string]*fleet.Target
+	current *fleet.Config
+	targets map[string]*fleet.Target
+	// goneAt holds when targets that are still remembered were removed.
 	goneAt    map[string]time.Time
 	evacuated map[string]bool
-	// evacuationEnded is when the evacuation of a failure domain ended.
+	// evacuationEnded holds when the last evacuation of a failure domain ended.
 	evacuationEnded map[string]time.Time
-	// trustGoneFrom is until when missing entries may still come back.
+	// trustGoneFrom is the time until which missing entries may still reappear after
+	// an outage.
 	trustGoneFrom time.Time
-	// outage is set while the last call to the store has failed.
+	// outage is set from a call that finds the store unavailable to the next that
+	// succeeds.
 	outage bool
-	// missing are targets whose entries are absent but may come back.
+	// missing holds the targets whose entries are absent but may reappear.
 	missing map[string]bool
 }
 
@@ -78,13 +85,15 @@
 	}
 }
 
-// Watching reports whether the watches run.
+// Watching reports whether the observer is between Start and Stop.
 func (o *Observer) Watching() bool { return o.cancel != nil }
 
-// Complete reports whether everything has been listed since the start.
+// Complete reports whether all prefixes have been listed since Start and a
+// configuration is known.
 func (o *Observer) Complete() bool { return len(o.listed) == 3 && o.current != nil }
 
-// Seed takes over what another VM knew, before the watches run.
+// Seed merges the declarations that another VM has reported. It is called before
+// Start.
 func (o *Observer) Seed(view *fleet.View) {
 	if view.Config != nil && (o.current == nil || view.Config.Version > o.current.Version) {
 		o.current = view.Config
@@ -100,9 +109,10 @@
 	}
 }
 
-// Start begins the watches. storeFailedAt is when the store last failed this VM, so
-// that entries may be about to come back; zero if it never did. What earlier watches
-// took for an outage says nothing of the store now.
+// Start begins to watch. storeFailedAt is when a call of this VM to the store last
+// failed, zero if none has; entries that went missing then may still reappear. An
+// outage seen before the last Stop is disregarded: it says nothing about the store
+// now.
 func (o *Observer) Start(ctx context.Context, storeFailedAt time.Time) {
 	if o.cancel != nil {
 		return
@@ -115,7 +125,7 @@
 	o.follow(ctx, o.config.Names.Evacuations, o.evacuationsListed, o.evacuationsChanged)
 }
 
-// Stop ends the watches.
+// Stop ends the watches; what they have found is kept.
 func (o *Observer) Stop() {
 	if o.cancel == nil {
 		return
@@ -125,6 +135,8 @@
 	clear(o.listed)
 }
 
+// follow runs one watch. Its callbacks are posted to the loop and dropped once the
+// watch has been stopped.
 func (o *Observer) follow(ctx context.Context, prefix string, listed, changed func([]store.Object)) {
 	post := func(f func()) {
 		o.config.Loop.Post(func() {
@@ -142,8 +154,8 @@
 	})
 }
 
-// contact notes the result of a call to the store. After an outage, entries
-// that are missing may still come back.
+// contact records the result of a call to the store. For a while after an outage,
+// missing entries may still reappear.
 func (o *Observer) contact(prefix string, err error) {
 	if err != nil {
 		events.WatchInterrupted.Log(o.config.Logger).Str("prefix", prefix).Err(err).Send()
@@ -158,7 +170,8 @@
 	o.config.Contact(err)
 }
 
-// Tick settles what depends on time and reports whether anything changed.
+// Tick marks targets as removed whose entries did not reappear in time, forgets
+// targets that were removed long ago, and reports whether anything changed.
 func (o *Observer) Tick(now time.Time) bool {
 	changed := false
 	if len(o.missing) > 0 && !o.outage && now.After(o.trustGoneFrom) {
@@ -178,13 +191,13 @@
 	return changed
 }
 
-// Config returns the configuration, or nil.
+// Config returns the configuration, or nil if none is known.
 func (o *Observer) Config() *fleet.Config { return o.current }
 
-// Targets returns a copy of the targets.
+// Targets returns the targets by id, in a map of its own.
 func (o *Observer) Targets() map[string]*fleet.Target { return maps.Clone(o.targets) }
 
-// Evacuated returns a copy of the failure domains that are taken out.
+// Evacuated returns a copy of the set of evacuated failure domains.
 func (o *Observer) Evacuated() map[string]bool { return maps.Clone(o.evacuated) }
 
 func (o *Observer) configListed(objects []store.Object) { o.configChanged(objects) }
@@ -232,7 +245,8 @@
 	}
 }
 
-// target takes in one entry and returns its target; nil if it names none.
+// target applies one entry and returns its target; nil if the entry is invalid or
+// older than what is known.
 func (o *Observer) target(object store.Object) *fleet.Target {
 	now := time.Now()
 	t, err := o.config.Names.DecodeTarget(object, now)
@@ -260,17 +274,19 @@
 	return t
 }
 
-// checkService refuses an entry in a target's place with a service that is not declared: it
-// is of another writer, and does not say that the target has started again.
+// checkService rejects an entry under a known target's id that names another service,
+// which is not declared: it comes from a faulty writer and does not mean that the
+// target has restarted.
 func (o *Observer) checkService(t *fleet.Target) error {
 	known := o.targets[t.ID]
 	if known == nil || known.Service == t.Service || o.current == nil || o.current.Service(t.Service) != nil {
 		return nil
 	}
-	return fault.New(fault.Invalid, "the entry is ignored; correct its writer", "target %q of service %q has service %q", t.ID, known.Service, t.Service)
+	return fault.New(fault.Invalid, "the entry is ignored; correct its writer", "target %q belongs to service %q, but its entry names the undeclared service %q", t.ID, known.Service, t.Service)
 }
 
-// absent handles a missing entry.
+// absent handles the missing entry of a target: the target counts as removed, at once
+// or, around an outage, only if the entry does not reappear in time.
 func (o *Observer) absent(id string) {
 	if o.targets[id] == nil || !o.goneAt[id].IsZero() {
 		return
@@ -283,8 +299,8 @@
 	o.gone(id, now)
 }
 
-// gone marks a target whose entry has been removed. It is remembered for a
-// while, since it may still hold keys.
+// gone marks a target as leaving whose entry has been removed. The target is
+// remembered for a while, since it may still hold keys.
 func (o *Observer) gone(id string, now time.Time) {
 	t := o.targets[id]
 	if t == nil {
@@ -331,8 +347,8 @@
 	events.DomainTakenOut.Log(o.config.Logger).Str("failure_domain", domain).Send()
 }
 
-// restore ends the evacuation of a failure domain. Its targets may have become
-// cold meanwhile, before their entries say so.
+// restore ends the evacuation of a failure domain. Its targets may have turned cold
+// in the meantime, which their entries may report only later.
 func (o *Observer) restore(domain string) {
 	if !o.evacuated[domain] {
 		return
@@ -351,7 +367,7 @@
 	events.DomainRestored.Log(o.config.Logger).Str("failure_domain", domain).Send()
 }
 
-// coldAfter is when a target stops being cold that turned cold at a time.
+// coldAfter returns when a target that turned cold at the given time is warm again.
 func (o *Observer) coldAfter(t *fleet.Target, from time.Time) time.Time {
 	if o.current == nil {
 		return from
--- a/internal/process/observer/observer_test.go
+++ b/internal/process/observer/observer_test.go
@@ -16,7 +16,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// unreliable is a store that can be turned off.
+// unreliable is a store that can be made unavailable.
 type unreliable struct {
 	*store.Memory
 	down atomic.Bool
@@ -38,7 +38,7 @@
 	return s.Memory.Watch(ctx, prefix, after)
 }
 
-// observed is an observer with targets t0 and t1, of which the store has t0 only.
+// observed is an observer whose store has an entry for target t0 only.
 type observed struct {
 	*Observer
 	store *unreliable
@@ -62,7 +62,8 @@
 	return o
 }
 
-// watch starts the observer with what other VMs know and lets it run for a time.
+// watch starts the observer, seeded with the targets t0 and t1, and ticks it for a
+// time.
 func (o *observed) watch(t *testing.T, storeFailedAt time.Time, during time.Duration) {
 	o.config.Loop.Call(func() {
 		targets := map[string]*fleet.Target{}
@@ -77,12 +78,14 @@
 	}
 }
 
+// leaves reports whether a target is marked as leaving.
 func (o *observed) leaves(id string) (leaves bool) {
 	o.config.Loop.Call(func() { leaves = o.targets[id].Leaving })
 	return leaves
 }
 
-// TestRemovalIsBelievedAtOnceByALaterWatch although an earlier one ended in an outage of the store.
+// TestRemovalIsBelievedAtOnceByALaterWatch checks that a missing entry counts as removed
+// at once, although an earlier watch ended during a store outage.
 func TestRemovalIsBelievedAtOnceByALaterWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newObserved(t)
@@ -97,7 +100,8 @@
 	})
 }
 
-// TestEntriesMayComeBackAfterAnOutage that ended just before the watch.
+// TestEntriesMayComeBackAfterAnOutage checks that a missing entry gets time to reappear
+// after an outage that ended just before the watch began.
 func TestEntriesMayComeBackAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newObserved(t)
