--- a/internal/request/forward/body.go
+++ b/internal/request/forward/body.go
@@ -6,29 +6,33 @@
 	"sync"
 )
 
-// readAheadBytes is how much of a body is read ahead at once.
+// readAheadBytes is the size of a single read when a body is read ahead.
 const readAheadBytes = 8 << 10
 
-// replayBody is a caller's body that can be sent more than once while it is
-// small. What an attempt reads from the caller is kept for the next.
+// replayBody is the body of a caller's request. It can be sent more than once as
+// long as it is within a size limit: what one attempt reads from the caller is kept
+// for the next.
 type replayBody struct {
 	source io.Reader
 	limit  int
 	empty  bool
 
 	mu sync.Mutex
-	// kept are the bytes read so far; dropped is set once they exceed the limit.
+	// kept holds the bytes read so far; dropped is set once they exceeded the limit
+	// and were discarded.
 	kept    []byte
 	dropped bool
-	err     error
-	// attempt numbers the readers; only the last may read from the caller.
+	// err is the error of the last read from the caller, io.EOF at the end.
+	err error
+	// attempt is the number of the latest reader; only that one may read on.
 	attempt int
-	// reading is set while one goroutine reads from the caller; read is signalled
-	// when it has.
+	// reading is set while a goroutine reads from the caller; read is signalled when
+	// it is done.
 	reading bool
 	read    sync.Cond
 }
 
+// newReplayBody returns the body of a request; up to limit bytes of it are kept.
 func newReplayBody(r *http.Request, limit int) *replayBody {
 	empty := r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0
 	b := &replayBody{source: r.Body, limit: limit, empty: empty}
@@ -36,12 +40,13 @@
 	return b
 }
 
-// awaited is a body that its caller does not send before it is asked for it.
+// awaited is implemented by bodies whose caller may wait for 100 Continue before it
+// sends them.
 type awaited interface{ Awaited() bool }
 
-// readAhead reads what can be kept of the body until the first attempt begins.
-// Only a connection that is read shows that its caller has left, and the target
-// does not hold a slot for as long as the caller takes to send.
+// readAhead reads the body, as far as it can be kept, until the first attempt
+// begins. A caller's disconnect is noticed only while its connection is read, and a
+// target's slot is not occupied while a slow caller sends.
 func (b *replayBody) readAhead() {
 	if body, ok := b.source.(awaited); ok && body.Awaited() {
 		return
@@ -55,8 +60,8 @@
 	}
 }
 
-// readSource reads from the caller, without the lock, which is held before and
-// after.
+// readSource reads from the caller. The lock must be held and is released during
+// the read.
 func (b *replayBody) readSource(p []byte) int {
 	b.reading = true
 	b.mu.Unlock()
@@ -67,17 +72,19 @@
 	return n
 }
 
-// streamed reports whether the answer is to be awaited while the body is sent.
+// streamed reports whether there is a body, so that the response may arrive while it
+// is still being sent.
 func (b *replayBody) streamed() bool { return !b.empty }
 
-// replayable reports whether the body can be sent again.
+// replayable reports whether the body can be sent again from its beginning.
 func (b *replayBody) replayable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.dropped && (b.err == nil || b.err == io.EOF)
 }
 
-// next returns the body for one more attempt; readers of earlier ones end.
+// next returns the body for the next attempt. Readers of earlier attempts fail from
+// then on.
 func (b *replayBody) next() io.ReadCloser {
 	if b.empty {
 		return http.NoBody
@@ -119,7 +126,8 @@
 	}
 }
 
-// readOn reads what has not been read yet; the lock is held.
+// readOn reads from the caller beyond what has been read before. The lock must be
+// held.
 func (r *bodyReader) readOn(p []byte) (int, error) {
 	b := r.body
 	n := b.readSource(p)
@@ -137,5 +145,5 @@
 	return n, b.err
 }
 
-// Close implements io.Closer; the caller's body belongs to the server.
+// Close implements io.Closer. It does nothing: the server closes the caller's body.
 func (r *bodyReader) Close() error { return nil }
--- a/internal/request/forward/deliver.go
+++ b/internal/request/forward/deliver.go
@@ -18,21 +18,22 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// answer is a target's answer. A small one has been read to its end, so that one
-// that breaks off can be replaced.
+// answer is a target's response. A small one has been read to its end, so that the
+// request can be retried if the response breaks off.
 type answer struct {
 	*target.Answer
 	cancel  context.CancelFunc
 	took    time.Duration
 	load    fleet.Load
 	hasLoad bool
-	// head is the beginning of the body; complete is set if it is all of it.
+	// head is the beginning of the body; complete is set if it is the whole body.
 	head     []byte
 	complete bool
-	ended    sync.Once
+	// ended makes sure that the permit is given back only once.
+	ended sync.Once
 }
 
-// copyHeaders copies the headers that pass on.
+// copyHeaders copies all headers but the hop-by-hop ones.
 func copyHeaders(to, from http.Header) {
 	for name, values := range from {
 		if !hopbyhop.Header(name, from["Connection"]) {
@@ -41,12 +42,12 @@
 	}
 }
 
-// outgoing builds the request for a target.
+// outgoing returns the request to be sent to a target.
 func (x *exchange) outgoing(ctx context.Context, t *fleet.Target) *http.Request {
 	header := make(http.Header, len(x.r.Header)+3)
 	copyHeaders(header, x.r.Header)
 	if _, ok := header["User-Agent"]; !ok {
-		// Keeps the library from adding its own.
+		// Keeps net/http from adding its own.
 		header["User-Agent"] = []string{""}
 	}
 	x.handler.config.Dialect.Address(header, t.ID, time.Until(x.deadline)-transitAllowance)
@@ -58,13 +59,13 @@
 	return request.WithContext(ctx)
 }
 
-// deliver passes the answer on.
+// deliver passes a response on to the caller and gives the permit back.
 func (x *exchange) deliver(permit permits.Permit, a *answer) {
 	defer a.cancel()
 	if a.complete {
 		x.end(permit, a, x.result(a))
 	} else {
-		// The target is free then, even if the caller does not read.
+		// The deadline frees the target even if the caller does not read.
 		defer context.AfterFunc(x.ctx, func() { x.end(permit, a, x.cut()) })()
 	}
 	x.writeHead(a)
@@ -78,7 +79,7 @@
 	x.delivered(a)
 }
 
-// result is what an answer counts for.
+// result returns the result that a complete response counts as.
 func (x *exchange) result(a *answer) admission.Result {
 	if a.Status >= http.StatusInternalServerError {
 		return admission.Failed
@@ -86,7 +87,7 @@
 	return admission.Answered
 }
 
-// cut is what an answer counts for that did not come to its end.
+// cut returns the result that an incomplete response counts as.
 func (x *exchange) cut() admission.Result {
 	if x.r.Context().Err() != nil {
 		return admission.Canceled
@@ -94,12 +95,12 @@
 	return admission.Broken
 }
 
-// end gives the permit back, once.
+// end gives the permit of a response back. Further calls do nothing.
 func (x *exchange) end(permit permits.Permit, a *answer, result admission.Result) {
 	a.ended.Do(func() { x.handler.config.Permits.End(permit, result, a.took, a.load, a.hasLoad) })
 }
 
-// writeHead writes status and headers as the target gave them.
+// writeHead writes the target's status and headers.
 func (x *exchange) writeHead(a *answer) {
 	header := x.w.Header()
 	closing := header.Get("Connection")
@@ -114,7 +115,7 @@
 		header.Set("Content-Length", strconv.FormatInt(a.ContentLength, 10))
 	}
 	if _, ok := header["Content-Type"]; !ok {
-		// Keeps the library from guessing one.
+		// Keeps net/http from guessing one.
 		header["Content-Type"] = nil
 	}
 	x.w.WriteHeader(a.Status)
@@ -124,7 +125,7 @@
 	return status >= 200 && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// stream passes the rest of a large answer on as it comes.
+// stream passes the rest of a large response on as it arrives.
 func (x *exchange) stream(permit permits.Permit, a *answer) {
 	controller := http.NewResponseController(x.w)
 	buffer := make([]byte, 32<<10)
@@ -145,13 +146,13 @@
 			x.end(permit, a, x.cut())
 			x.handler.metrics.failed("answer-cut")
 			x.log(events.ResponseCut).Err(err).Send()
-			// The caller sees a broken transfer, not a short answer.
+			// The caller must see a broken transfer, not a complete shorter response.
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// callerLost ends an exchange whose caller does not take the answer.
+// callerLost ends an exchange whose response could not be written to the caller.
 func (x *exchange) callerLost(permit permits.Permit, a *answer) {
 	_ = a.Body.Close()
 	if !a.complete {
@@ -160,12 +161,14 @@
 	x.left()
 }
 
+// delivered counts and logs a response that has been passed on.
 func (x *exchange) delivered(a *answer) {
 	x.handler.metrics.answered(x.route, time.Since(x.began), a.Status)
 	x.log(events.RequestAnswered).Int("status", a.Status).Dur("service_time", a.took).Send()
 }
 
-// readUpTo reads at most limit bytes; the error is io.EOF if the body ended.
+// readUpTo reads at most limit bytes. The error is io.EOF if it reached the end of the
+// body, and nil if it stopped at the limit.
 func readUpTo(body io.Reader, limit int) ([]byte, error) {
 	content := make([]byte, 0, 2<<10)
 	for len(content) < limit {
--- a/internal/request/forward/exchange.go
+++ b/internal/request/forward/exchange.go
@@ -15,7 +15,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// exchange is one request of a caller from its arrival to its answer.
+// exchange is one request of a caller, from its arrival to the end of its response.
 type exchange struct {
 	handler *Handler
 	w       http.ResponseWriter
@@ -28,28 +28,34 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	began   time.Time
-	// aim and deadline are when the answer has its full and any worth.
+	// aim is the time until which a response has its full value; from deadline on it
+	// has none.
 	aim, deadline time.Time
 	body          *replayBody
 
-	// attempts counts the targets that the request was sent to.
+	// attempts is the number of targets that the request has reached.
 	attempts int
-	target   string
-	exclude  []string
+	// target is the id of the target of the latest permit.
+	target string
+	// exclude holds the ids of the targets that the request has reached.
+	exclude []string
 }
 
 // outcome is how an attempt ended.
 type outcome struct {
 	result admission.Result
-	// mayHaveRun is set unless the request certainly did not run.
+	// mayHaveRun is set unless the target certainly did not run the request.
 	mayHaveRun bool
-	// arrived is set if the request reached a target.
+	// arrived is set if the request may have reached the target.
 	arrived bool
-	answer  *answer
-	cause   error
+	// answer is the response to be passed on, if any.
+	answer *answer
+	// cause is why there is no such response.
+	cause error
 }
 
-// run sends the request until it is answered or given up.
+// run sends the request, to one target after another, until there is a response to
+// pass on or no further attempt is allowed, and responds to the caller.
 func (x *exchange) run() {
 	x.body = newReplayBody(x.r, keptBody)
 	if x.body.streamed() {
@@ -64,8 +70,8 @@
 			return
 		}
 		if permit.Refused != "" {
-			// Whatever was sent before was stated not to have run, or may run more
-			// than once.
+			// 503 is safe here: either each target reached before has stated that the
+			// request did not run, or the request is idempotent.
 			x.refuse(string(permit.Refused), permit.RetryAfter)
 			return
 		}
@@ -92,10 +98,12 @@
 	}
 }
 
-// maxTries bounds the attempts of one request, with those that reached nobody.
+// maxTries limits the attempts of one request, including those that reached no
+// target.
 const maxTries = 4
 
-// mayTryAgain reports whether another attempt makes sense.
+// mayTryAgain reports whether another attempt is possible and allowed after the given
+// number of failed ones, counted from 0.
 func (x *exchange) mayTryAgain(tries int) bool {
 	return x.attempts < x.route.MaxAttempts && tries+1 < maxTries && x.body.replayable() && x.ctx.Err() == nil
 }
@@ -108,8 +116,8 @@
 	}
 }
 
-// attempt sends the request to the target of a permit. An outcome with an
-// answer leaves the permit to deliver; otherwise it has been given back.
+// attempt sends the request to the target of a permit. If the outcome has a
+// response, the permit is left to deliver; otherwise it has been given back.
 func (x *exchange) attempt(permit permits.Permit) outcome {
 	view := x.handler.config.View()
 	t := view.Targets[permit.Target.ID]
@@ -133,7 +141,8 @@
 	return x.answered(permit, got, took, cancel)
 }
 
-// answered handles the answer of a target, the head of which has come.
+// answered handles a target's response whose status and headers have arrived. It
+// reads the beginning of the body.
 func (x *exchange) answered(permit permits.Permit, got *target.Answer, took time.Duration, cancel context.CancelFunc) outcome {
 	dialect := x.handler.config.Dialect
 	load, hasLoad := dialect.Load(got.Header)
@@ -158,7 +167,8 @@
 	}}
 }
 
-// unfit says why an answer must not be passed on, and what it counts for.
+// unfit returns an error if a response must not be passed on, and the result that the
+// attempt then counts as.
 func (x *exchange) unfit(got *target.Answer) (admission.Result, error) {
 	switch {
 	case x.route.Kind != fleet.Idempotent && promisesNotRun(got.Status):
@@ -169,8 +179,8 @@
 	return 0, nil
 }
 
-// promisesNotRun reports whether callers take a status for the word that the
-// request did not run and never will.
+// promisesNotRun reports whether callers take a status as a promise that the request
+// did not run and never will.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -181,17 +191,17 @@
 
 var errUnstatedRefusal = errors.New("the target refused the request without stating that it did not run")
 
-var errUnsigned = errors.New("the target's success bears no signature")
+var errUnsigned = errors.New("the target's success response is not signed")
 
-var errStalePermit = errors.New("the target of the permit takes no requests any more")
+var errStalePermit = errors.New("the target of the permit no longer accepts requests")
 
-// lost gives the permit back.
+// lost gives back the permit of an attempt without a response to pass on.
 func (x *exchange) lost(permit permits.Permit, o outcome, took time.Duration) outcome {
 	x.handler.config.Permits.End(permit, o.result, took, fleet.Load{}, false)
 	return o
 }
 
-// notRun handles an answer that states that the request did not run.
+// notRun handles a response that states that the request did not run.
 func (x *exchange) notRun(permit permits.Permit, status int, took time.Duration, load fleet.Load, hasLoad bool) outcome {
 	result := admission.NotRun
 	if status == http.StatusMisdirectedRequest {
@@ -203,7 +213,8 @@
 
 var errTargetRefused = errors.New("the target did not run the request")
 
-// exchangeFailed classifies an exchange without an answer.
+// exchangeFailed returns the outcome of an attempt that failed without a response.
+// expired says that the attempt's context had ended.
 func (x *exchange) exchangeFailed(err error, expired bool) outcome {
 	var failed *target.ExchangeError
 	handed := !errors.As(err, &failed) || failed.Handed
@@ -219,7 +230,7 @@
 	return o
 }
 
-// dialResult classifies a connection that could not be opened.
+// dialResult returns the result that a failure to open a connection counts as.
 func dialResult(err error) admission.Result {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -230,8 +241,8 @@
 	return admission.Unreachable
 }
 
-// ended answers a request whose time is over, or whose caller has left, before
-// it was sent (again).
+// ended responds to a request whose deadline has passed, or whose caller has left,
+// while it waited for a permit.
 func (x *exchange) ended(mayHaveRun bool, reason string) {
 	if x.r.Context().Err() != nil {
 		x.left()
@@ -244,7 +255,7 @@
 	x.refuse(reason, 0)
 }
 
-// broken answers a request that may have run, if its caller is still there.
+// broken responds to a request that may have run, unless the caller has left.
 func (x *exchange) broken(o outcome) {
 	if x.r.Context().Err() != nil {
 		x.left()
@@ -257,7 +268,7 @@
 	x.answer(status, "target-lost")
 }
 
-// givenUp answers a request after its last attempt.
+// givenUp responds to a request after its last attempt has failed.
 func (x *exchange) givenUp(o outcome) {
 	if o.mayHaveRun || x.r.Context().Err() != nil {
 		x.broken(o)
@@ -266,14 +277,15 @@
 	x.refuse("attempts-used", 0)
 }
 
-// left notes that the caller has gone.
+// left records that the caller has left and aborts the handler.
 func (x *exchange) left() {
 	x.handler.metrics.left.Inc(1)
 	x.log(events.CallerLeft).Send()
 	panic(http.ErrAbortHandler)
 }
 
-// refuse answers 503: the request did not run and never will.
+// refuse responds with 503: the request did not run and never will. after is the
+// suggested delay before a retry.
 func (x *exchange) refuse(reason string, after time.Duration) {
 	x.handler.config.Dialect.RetryAfter(x.w.Header(), after)
 	x.handler.metrics.refused(reason)
@@ -281,7 +293,7 @@
 	x.write(http.StatusServiceUnavailable, reason)
 }
 
-// answer answers with a status of this VM's own.
+// answer responds with an error status of this VM's own.
 func (x *exchange) answer(status int, reason string) {
 	x.handler.metrics.failed(reason)
 	x.log(events.RequestFailed).Int("status", status).Str("reason", reason).Send()
@@ -291,7 +303,7 @@
 func (x *exchange) write(status int, reason string) {
 	x.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(status)
-	// A caller that has left is noticed by the server.
+	// The server notices if the caller has left.
 	_, _ = io.WriteString(x.w, reason+"\n")
 }
 
--- a/internal/request/forward/forward.go
+++ b/internal/request/forward/forward.go
@@ -1,9 +1,9 @@
-// Package forward carries callers' requests to targets and the answers back.
+// Package forward passes callers' requests on to targets and the responses back.
 //
 // Guarantees: a request that is not idempotent is sent again only if it
-// certainly did not run; 503 is answered only to requests that did not run and
-// never will; an answer that breaks off never looks complete; what was given up
-// gets its final answer at once.
+// certainly did not run; 503 is the response only to requests that did not run and
+// never will; a response that breaks off never looks complete to the caller; a
+// request that is given up gets its final response at once.
 package forward
 
 import (
@@ -23,41 +23,50 @@
 )
 
 const (
-	// defaultDeadline is the deadline of a request that names none.
+	// defaultDeadline is the time that a request has if its caller names no deadline.
 	defaultDeadline = 10 * time.Second
-	// largeBody is the size in bytes from which a request is kept in its failure
-	// domain if possible.
+	// largeBody is the size of a body in bytes above which a request is kept in this
+	// VM's failure domain if possible.
 	largeBody = 16 << 10
-	// keptBody is the size in bytes up to which a request's body is kept to be
-	// sent again, and an answer is held back until it is complete.
+	// keptBody is the size in bytes up to which the body of a request is kept for
+	// retries, and a response is held back until it is complete.
 	keptBody = 128 << 10
-	// comeBackSoon is what callers are told while this VM knows no configuration.
+	// comeBackSoon is the retry delay suggested to callers while this VM lacks the
+	// configuration for their request.
 	comeBackSoon = 300 * time.Millisecond
-	// transitAllowance is taken off the deadline that targets are given.
+	// transitAllowance is subtracted from the remaining time that targets are told,
+	// to allow for transit.
 	transitAllowance = 2 * time.Millisecond
 )
 
-// Dialect reads and writes the headers of a deployment.
+// Dialect reads and writes the headers that differ between deployments.
 type Dialect interface {
 	RequestIDHeader() string
 	RequestID(http.Header) string
-	// Deadline is how long the caller waits; false if it does not say.
+	// Deadline returns how long the caller waits; false if it does not say.
 	Deadline(http.Header) (time.Duration, bool)
+	// Key returns the key of a request; false if it has no valid one.
 	Key(http.Header) (uint16, bool)
-	// Address prepares the headers of a request for one target.
+	// Address sets the headers of a request for one target, which has to respond
+	// within the time left.
 	Address(h http.Header, target string, left time.Duration)
-	// NotRun reports whether an answer states that the request did not run.
+	// NotRun reports whether a response states that the request did not run.
 	NotRun(status int, h http.Header) bool
-	// Signed reports whether an answer bears the signature without which a success
-	// is none.
+	// Signed reports whether a response has the target's signature. A success
+	// response without it is not trusted.
 	Signed(http.Header) bool
+	// Load returns the load that a target reports with a response; false if none.
 	Load(http.Header) (fleet.Load, bool)
+	// RetryAfter sets the delay before a retry that is suggested to the caller.
 	RetryAfter(h http.Header, after time.Duration)
 }
 
-// Permits gives out the right to send a request to a target.
+// Permits grants the right to send a request to a target.
 type Permits interface {
+	// Acquire waits for a permit or a refusal; the error is that of the context.
 	Acquire(context.Context, admission.Request) (permits.Permit, error)
+	// End gives a permit back with the result of the attempt, the time that it took
+	// and, if hasLoad is set, the target's load.
 	End(p permits.Permit, result admission.Result, took time.Duration, load fleet.Load, hasLoad bool)
 }
 
@@ -81,12 +90,12 @@
 	inFlight atomic.Int64
 }
 
-// New returns a handler.
+// New returns a handler of callers' requests.
 func New(config Config) *Handler {
 	return &Handler{config: config, metrics: newMetrics(config.Metrics)}
 }
 
-// InFlight returns the number of requests under way.
+// InFlight returns the number of requests that are being served.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
 // ServeHTTP implements http.Handler.
@@ -104,7 +113,8 @@
 	exchange.run()
 }
 
-// begin finds the route of a request; it answers and returns nil if there is none.
+// begin prepares the exchange for a request. If the request cannot be sent to any
+// service, it responds and returns nil.
 func (h *Handler) begin(w http.ResponseWriter, r *http.Request) *exchange {
 	view := h.config.View()
 	x := &exchange{handler: h, w: w, r: r, view: view, began: time.Now(), id: h.config.Dialect.RequestID(r.Header)}
@@ -138,7 +148,8 @@
 	return x
 }
 
-// setDeadline takes the earlier of the caller's deadline and the route's timeout.
+// setDeadline sets the aim and the deadline, the latter to the earlier of the caller's
+// deadline and the route's timeout.
 func (x *exchange) setDeadline() {
 	left, ok := x.handler.config.Dialect.Deadline(x.r.Header)
 	if !ok {
@@ -150,7 +161,7 @@
 	x.ctx, x.cancel = context.WithDeadline(x.r.Context(), x.deadline)
 }
 
-// log writes the line of a request's end.
+// log returns a log line for an event with the fields that describe the request.
 func (x *exchange) log(event events.Event) *zerolog.Event {
 	line := event.Log(&x.handler.config.Logger).Str("request", x.id)
 	if x.route != nil {
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -29,10 +29,12 @@
 	"github.com/chestnutcourse/chestnutcourse/platform"
 )
 
-// patience bounds what is expected to happen; no verdict depends on its length.
+// patience limits the wait for what is expected to happen; no result depends on its
+// length.
 const patience = 10 * time.Second
 
-// fixture is a handler in front of some targets, with permits given in turn.
+// fixture is a handler in front of some targets. It implements forward.Permits and
+// grants the targets in turn.
 type fixture struct {
 	address  string
 	inFlight func() int
@@ -40,19 +42,20 @@
 	pools    *forward.Pools
 	view     *fleet.View
 
-	// waiting, if set, gets a signal from each request that waits for its permit
-	// until its caller leaves.
+	// waiting, if set, makes each request wait for its permit until its caller
+	// leaves; it receives a signal when a request begins to wait.
 	waiting chan struct{}
 
 	mu      sync.Mutex
 	next    int
 	refuse  admission.Reason
 	results []admission.Result
-	// asked is when a permit was last asked for.
+	// asked is when a permit was last requested.
 	asked time.Time
 }
 
-// Acquire implements forward.Permits: targets in turn, without those excluded.
+// Acquire implements forward.Permits. It grants the targets in turn, and none once all
+// are excluded.
 func (f *fixture) Acquire(ctx context.Context, r admission.Request) (permits.Permit, error) {
 	if f.waiting != nil {
 		f.waiting <- struct{}{}
@@ -80,7 +83,8 @@
 	f.results = append(f.results, result)
 }
 
-// awaitAsked returns when the first permit was asked for, from when on deadlines count.
+// awaitAsked waits for a request for a permit and returns its time, from which the
+// deadline is counted.
 func (f *fixture) awaitAsked() time.Time {
 	for {
 		f.mu.Lock()
@@ -99,7 +103,7 @@
 	return append([]admission.Result(nil), f.results...)
 }
 
-// faults names the fault of each target in turn.
+// start starts a handler and one target for each of the faults, "" for none.
 func start(t *testing.T, faults ...string) *fixture {
 	f := &fixture{view: &fleet.View{Targets: map[string]*fleet.Target{}}}
 	f.view.Config = &fleet.Config{
@@ -185,7 +189,7 @@
 	return all
 }
 
-// TestAnswerIsPassedOn unchanged, and the request too.
+// TestAnswerIsPassedOn checks that a request and its response pass unchanged.
 func TestAnswerIsPassedOn(t *testing.T) {
 	f := start(t, "")
 	answer := f.send(t, "POST", "/once/x?y=%20z", "a1", "body")
@@ -200,13 +204,13 @@
 	assert.DeepEqual(t, f.ended(), []admission.Result{admission.Answered})
 }
 
-// TestFailuresOfTheTarget: what a caller gets, and how often the request runs,
-// for every way in which the first target fails; the second one is sound.
+// TestFailuresOfTheTarget checks what a caller gets, and how often the request runs,
+// for each fault of the first target; the second target has no fault.
 func TestFailuresOfTheTarget(t *testing.T) {
 	for _, c := range []struct {
 		fault, path string
 		status      int
-		// by is the target whose answer the caller gets; "" for none.
+		// by is the target whose response the caller gets, or "" to skip the check.
 		by   string
 		runs int
 	}{
@@ -265,9 +269,9 @@
 	}
 }
 
-// halfASecondAfter returns a channel that is closed half a second after a moment, by a
-// clock that stands while this process gets no processor time: what waits for a busy
-// machine is not held.
+// halfASecondAfter returns a channel that is closed half a second after a moment. The
+// half second does not count time in which this process got no processor time, so
+// that a busy machine does not fail the test.
 func halfASecondAfter(moment time.Time) <-chan struct{} {
 	const step = 2 * time.Millisecond
 	late := make(chan struct{})
@@ -283,7 +287,7 @@
 	return late
 }
 
-// eventually waits for a condition until a channel is closed.
+// eventually waits for a condition and fails the test if late is closed before.
 func eventually(t *testing.T, late <-chan struct{}, condition func() bool, message string) {
 	t.Helper()
 	for !condition() {
@@ -295,9 +299,9 @@
 	}
 }
 
-// TestBodyWithoutEndIsCutAtTheDeadline: the caller sees a broken transfer, or a failure
-// if little of it has come by then, and neither the permit nor the connection is held
-// for longer.
+// TestBodyWithoutEndIsCutAtTheDeadline checks that a response body without end is cut
+// at the deadline: the caller sees a broken transfer, or an error status if nothing has
+// been passed on by then, and the permit and the connection are released.
 func TestBodyWithoutEndIsCutAtTheDeadline(t *testing.T) {
 	for _, fault := range []string{"endless", "endless-chunked"} {
 		for _, path := range []string{"/once/", "/safe/"} {
@@ -310,8 +314,8 @@
 	}
 }
 
-// cutAtTheDeadline plays a body without end; it reports false if the request did not
-// reach its target.
+// cutAtTheDeadline runs one request whose response has no end. It returns false if the
+// request did not reach its target.
 func cutAtTheDeadline(t *testing.T, fault, path string) bool {
 	f := start(t, fault, "")
 	var ended atomic.Bool
@@ -322,7 +326,7 @@
 		ended.Store(true)
 	}()
 	late := halfASecondAfter(f.awaitAsked().Add(800 * time.Millisecond))
-	eventually(t, late, ended.Load, "half a second after the deadline the caller has no end")
+	eventually(t, late, ended.Load, "half a second after the deadline the caller's response has not ended")
 	if len(f.targets[0].Runs()) == 0 {
 		return false
 	}
@@ -334,7 +338,7 @@
 	default:
 		t.Fatalf("status %d, %v", status, err)
 	}
-	eventually(t, late, func() bool { return f.inFlight() == 0 && f.pools.Open() == 0 }, "the connection is held")
+	eventually(t, late, func() bool { return f.inFlight() == 0 && f.pools.Open() == 0 }, "the connection is still held half a second after the deadline")
 	want := admission.Broken
 	if status == http.StatusGatewayTimeout {
 		want = admission.Timeout
@@ -343,8 +347,8 @@
 	return true
 }
 
-// readAll sends a request with a deadline in milliseconds and reads the answer to its
-// end.
+// readAll sends a request with a deadline in milliseconds and reads the response to
+// its end.
 func (f *fixture) readAll(path string, deadline int) (status int, err error) {
 	request, err := http.NewRequest("POST", "http://"+f.address+path, strings.NewReader("body"))
 	if err != nil {
@@ -361,7 +365,8 @@
 	return answer.StatusCode, err
 }
 
-// TestCallerThatDoesNotReadHoldsNoPermit beyond its deadline.
+// TestCallerThatDoesNotReadHoldsNoPermit checks that the permit is given back at the
+// deadline even if the caller does not read the response.
 func TestCallerThatDoesNotReadHoldsNoPermit(t *testing.T) {
 	f := start(t, "flood")
 	conn, err := net.Dial("tcp", f.address)
@@ -370,20 +375,21 @@
 	_, err = io.WriteString(conn, "GET /safe/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a1\r\nRequest-Deadline: 300\r\n\r\n")
 	assert.NilError(t, err)
 	late := halfASecondAfter(f.awaitAsked().Add(300 * time.Millisecond))
-	eventually(t, late, func() bool { return len(f.ended()) > 0 }, "the permit is held")
+	eventually(t, late, func() bool { return len(f.ended()) > 0 }, "the permit is still held half a second after the deadline")
 	<-late
 	assert.DeepEqual(t, f.ended(), []admission.Result{admission.Broken})
 }
 
-// TestRefusedRequestKeepsNoConnection: the target could write the refusal once more
-// there, for the same attempt.
+// TestRefusedRequestKeepsNoConnection checks that the connection is closed after a
+// refusal: the target could write the refusal a second time, for the same attempt.
 func TestRefusedRequestKeepsNoConnection(t *testing.T) {
 	f := start(t, "refuse")
 	assert.Equal(t, f.send(t, "POST", "/once/", "a1", "body").status, http.StatusServiceUnavailable)
 	assert.Equal(t, f.pools.Open(), 0)
 }
 
-// TestRefusalSaysWhenToComeBack and the request has not run.
+// TestRefusalSaysWhenToComeBack checks that a refusal has a Retry-After header and that
+// the request has not run.
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	f := start(t, "")
 	f.refuse = admission.WouldBeLate
@@ -393,8 +399,8 @@
 	assert.Equal(t, len(f.runs()), 0)
 }
 
-// TestWithoutConfigurationNothingIsDenied: a VM that knows no configuration
-// answers 503, not 404.
+// TestWithoutConfigurationNothingIsDenied checks that a VM without a configuration
+// responds with 503, not 404.
 func TestWithoutConfigurationNothingIsDenied(t *testing.T) {
 	f := start(t, "")
 	config := f.view.Config
@@ -406,8 +412,8 @@
 	_ = config
 }
 
-// TestStalePermitIsNotUsed: a permit for a target that leaves meanwhile, or for
-// another life of it, is given back.
+// TestStalePermitIsNotUsed checks that a permit is given back unused if its target is
+// leaving or has restarted since.
 func TestStalePermitIsNotUsed(t *testing.T) {
 	f := start(t, "", "")
 	f.view.Targets["t0"].Leaving = true
@@ -420,7 +426,8 @@
 	assert.Equal(t, answer.body, fencetarget.Body("t1", "a2"))
 }
 
-// TestCallerThatLeavesCancels the work at the target within half a second.
+// TestCallerThatLeavesCancels checks that the target's work is canceled within half a
+// second after its caller has left.
 func TestCallerThatLeavesCancels(t *testing.T) {
 	f := start(t)
 	canceled := make(chan struct{})
@@ -442,11 +449,12 @@
 	select {
 	case <-canceled:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the target was still at work half a second after the caller had left")
+		t.Fatal("the target was still working half a second after the caller had left")
 	}
 }
 
-// TestLargeAnswerIsStreamed and arrives whole.
+// TestLargeAnswerIsStreamed checks that a response above the size that is held back
+// arrives complete.
 func TestLargeAnswerIsStreamed(t *testing.T) {
 	f := start(t)
 	content := bytes.Repeat([]byte("0123456789"), 100_000)
@@ -465,9 +473,9 @@
 	assert.Equal(t, answer.body, string(content))
 }
 
-// TestLeavingWithABodyIsNoticed: a caller that leaves while its request with a body
-// waits for a permit is noticed at once, not when the body is wanted; also one that
-// has sent only a part of it.
+// TestLeavingWithABodyIsNoticed checks that a caller that leaves while its request
+// waits for a permit is noticed at once, whether it has sent all of the body, a part
+// or nothing. Without reading ahead it is noticed only when the body is needed.
 func TestLeavingWithABodyIsNoticed(t *testing.T) {
 	for name, sent := range map[string]int{"all": 40_000, "a part": 10_000, "no body": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -492,8 +500,8 @@
 	}
 }
 
-// TestBodyReadAheadArrivesWhole, at the first target and at the next, below and
-// above the size that is kept.
+// TestBodyReadAheadArrivesWhole checks that a body that is read ahead arrives complete
+// at the first target and at the next, below and above the size that is kept.
 func TestBodyReadAheadArrivesWhole(t *testing.T) {
 	f := start(t, "refuse", "")
 	for _, size := range []int{1, 5000, 128 << 10, 300_000} {
@@ -511,8 +519,8 @@
 	}
 }
 
-// TestRefusedUploadKeepsItsConnection: the read ahead of a body that has come whole
-// does not end the connection of a caller whose request is refused.
+// TestRefusedUploadKeepsItsConnection checks that the caller's connection stays open if
+// its request is refused after the whole body has arrived and been read ahead.
 func TestRefusedUploadKeepsItsConnection(t *testing.T) {
 	f := start(t, "")
 	f.refuse = admission.WouldBeLate
--- a/internal/request/forward/hostile_test.go
+++ b/internal/request/forward/hostile_test.go
@@ -18,22 +18,23 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// bytesPlayed is what a target writes for a request, byte for byte.
+// bytesPlayed is what a faulty target writes in response to a request, byte for byte.
 type bytesPlayed struct {
-	// early is written before the request's body is read, late after it.
+	// early is written before the request's body is read, late afterwards.
 	early, late string
-	// again is written until the caller closes.
+	// again is then written over and over until the connection is closed.
 	again string
-	// kept leaves the connection open, reset resets it.
+	// kept leaves the connection open at the end, reset resets it; it is closed
+	// otherwise.
 	kept, reset bool
-	// refused is set if the target did not run the request.
+	// refused is set if the target does not run the request.
 	refused bool
-	// answered is set if the caller has to get the target's answer.
+	// answered is set if the caller must get the target's response.
 	answered bool
 }
 
-// rawTarget answers requests but those whose id begins with "a" as a sound target
-// does, and plays bytes for the others.
+// rawTarget plays bytes for requests whose id begins with "a". It responds to all
+// others as a target without faults does.
 type rawTarget struct {
 	played bytesPlayed
 	runs   atomic.Int64
@@ -84,22 +85,24 @@
 	}
 }
 
-// ownAnswer is the whole answer of a target.
+// ownAnswer returns the complete response of a target to an attempt.
 func ownAnswer(id, attempt string) string {
 	return headOf(attempt) + "Content-Length: " + fmt.Sprint(len(fencetarget.Body(id, attempt))) + "\r\n\r\n" + fencetarget.Body(id, attempt)
 }
 
-// headOf is the beginning of an answer to an attempt.
+// headOf returns the beginning of the head of a response to an attempt.
 func headOf(attempt string) string {
 	return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attempt + "\r\nServer-Seal: " + fencetarget.Seal(attempt) + "\r\n"
 }
 
-// refusalOf states that an attempt did not run; its body is "full".
+// refusalOf returns a response, with the body "full", that states that an attempt did
+// not run.
 func refusalOf(attempt string) string {
 	return "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: " + attempt + "\r\nNot-Executed: 1\r\nContent-Length: 4\r\n\r\nfull"
 }
 
-// playedBytes are the bytes of faulty targets for the attempt a1 of t0.
+// playedBytes returns what the faulty target t0 writes in response to the attempt a1,
+// by the name of the fault.
 func playedBytes() map[string]bytesPlayed {
 	own, earlier, refusal := ownAnswer("t0", "a1"), refusalOf("earlier"), refusalOf("a1")
 	chunked := strings.Replace(refusal, "Content-Length: 4\r\n\r\nfull", "Transfer-Encoding: chunked\r\n\r\n", 1)
@@ -109,9 +112,9 @@
 	all := map[string]bytesPlayed{
 		"earlier refusal before the body":        {early: earlier, late: own, kept: true, answered: true},
 		"earlier refusal after a continue":       {early: "HTTP/1.1 100 Continue\r\n\r\n" + earlier, late: own, kept: true, answered: true},
-		"half of it before the body":             {early: earlier[:40], late: earlier[40:] + own, kept: true, answered: true},
+		"half a refusal before the body":         {early: earlier[:40], late: earlier[40:] + own, kept: true, answered: true},
 		"earlier refusal after the answer":       {late: own + earlier, kept: true, answered: true},
-		"half of it after the answer":            {late: own + earlier[:40], kept: true, answered: true},
+		"half a refusal after the answer":        {late: own + earlier[:40], kept: true, answered: true},
 		"earlier refusal and no answer":          {early: earlier, kept: true},
 		"earlier refusal, then the end":          {early: earlier},
 		"earlier refusal, then a reset":          {early: earlier, reset: true},
@@ -132,9 +135,9 @@
 		"refusal of HTTP/1.0 without length":     {late: old(strings.Replace(refusal, "Content-Length: 4\r\n", "", 1)), refused: true},
 		"refusal, id twice":                      {late: strings.Replace(refusal, "Not-", "attempt-id: a1\r\nNot-", 1), refused: true},
 		"refusal, two ids":                       {late: strings.Replace(refusal, "Not-", "ATTEMPT-ID: earlier\r\nNot-", 1)},
-		"refusal without word":                   {late: strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), kept: true},
-		"refusal without word nor end":           {late: strings.Replace(strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), "Content-Length: 4\r\n", "", 1), again: "full"},
-		"refusal, cut in its word":               {late: refusal[:strings.Index(refusal, "Executed")]},
+		"refusal without its statement":          {late: strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), kept: true},
+		"refusal without its statement or end":   {late: strings.Replace(strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), "Content-Length: 4\r\n", "", 1), again: "full"},
+		"refusal, cut in its statement":          {late: refusal[:strings.Index(refusal, "Executed")]},
 		"refusal, cut before its last line ends": {late: strings.SplitAfter(refusal, "Length: 4\r\n")[0]},
 		"redirect without end":                   {late: status(headOf("a1"), "302 Found") + "Location: /x\r\n\r\n", again: "more"},
 		"no content, and bytes without end":      {late: status(headOf("a1"), "204 No Content") + "\r\n", again: "more"},
@@ -162,9 +165,10 @@
 	return all
 }
 
-// TestNoBytesOfATargetMakeAPromise that does not hold, nor look like an answer that it
-// did not give: the caller gets the whole answer, or a failure that says nothing of
-// the request unless no target ran it.
+// TestNoBytesOfATargetMakeAPromise checks that no bytes of a target make the caller
+// believe that a request did not run when it did, or in a response that the target did
+// not give. The caller gets the complete response or a failure, and the failure
+// promises that the request did not run only if no target ran it.
 func TestNoBytesOfATargetMakeAPromise(t *testing.T) {
 	for name, played := range playedBytes() {
 		for path, body := range map[string]string{"/once/": strings.Repeat("b", 3000), "/upload/": strings.Repeat("b", 300_000), "/safe/": ""} {
@@ -194,7 +198,7 @@
 	}
 }
 
-// sendFirst sends a request to t0 first.
+// sendFirst sends a request whose first permit is for t0.
 func (f *fixture) sendFirst(t *testing.T, deadline time.Duration, method, path, attempt, body string) got {
 	f.mu.Lock()
 	f.next = 0
@@ -202,18 +206,20 @@
 	return f.sendWithin(t, deadline, method, path, attempt, body)
 }
 
+// checkPromise checks what the caller got for a request that ran the given number of
+// times; once is set for requests that are not idempotent.
 func (f *fixture) checkPromise(t *testing.T, got got, runs int, once bool, played bytesPlayed) {
 	t.Helper()
 	if once {
 		assert.Assert(t, runs <= 1, "%d runs", runs)
 	}
-	assert.Assert(t, got.status/100 != 2 || got.header.Get("Server-Seal") == fencetarget.Seal("a1"), "a success without the seal: %+v", got)
+	assert.Assert(t, got.status/100 != 2 || got.header.Get("Server-Seal") == fencetarget.Seal("a1"), "success response without its signature: %+v", got)
 	switch got.status {
 	case http.StatusOK:
 		whole := got.body == fencetarget.Body("t0", "a1") || got.body == fencetarget.Body("t1", "a1")
-		assert.Assert(t, whole || got.err != nil, "looks whole: %+v", got)
+		assert.Assert(t, whole || got.err != nil, "response looks complete but is not: %+v", got)
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		assert.Assert(t, !once || runs == 0, "%d for a request that ran %d times", got.status, runs)
+		assert.Assert(t, !once || runs == 0, "status %d for a request that ran %d times", got.status, runs)
 	}
 	if played.answered {
 		assert.Equal(t, got.status, http.StatusOK)
@@ -221,8 +227,9 @@
 	}
 }
 
-// TestNothingFollowsAnAnswerThatBreaksOff on the connection of a caller that has sent
-// further requests: they count as not read.
+// TestNothingFollowsAnAnswerThatBreaksOff checks that nothing is written to a caller's
+// connection after a response that breaks off, also if the caller has sent further
+// requests on it: these count as not read.
 func TestNothingFollowsAnAnswerThatBreaksOff(t *testing.T) {
 	long := strings.Repeat("x", 200_000)
 	for name, played := range map[string]bytesPlayed{
@@ -254,7 +261,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Header.Get("Attempt-Id"), "a1")
 			_, err = io.Copy(io.Discard, answer.Body)
-			assert.Assert(t, err != nil, "an answer that broke off looks whole")
+			assert.Assert(t, err != nil, "a response that broke off looks complete")
 			rest, _ := io.ReadAll(in)
 			assert.Equal(t, string(rest), "")
 		})
--- a/internal/request/forward/metrics.go
+++ b/internal/request/forward/metrics.go
@@ -8,14 +8,14 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// latencyBuckets cover answers from milliseconds to the longest deadlines.
+// latencyBuckets cover responses from milliseconds to the longest deadlines.
 var latencyBuckets = tally.DurationBuckets{
 	5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 	150 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, 800 * time.Millisecond,
 	1200 * time.Millisecond, 2 * time.Second, 5 * time.Second, 10 * time.Second,
 }
 
-// metrics count what callers get.
+// metrics counts the responses that callers get.
 type metrics struct {
 	scope tally.Scope
 	left  tally.Counter
--- a/internal/request/forward/pools.go
+++ b/internal/request/forward/pools.go
@@ -12,25 +12,24 @@
 )
 
 const (
-	// connectionsPerTarget bounds the connections of this VM to one target.
+	// connectionsPerTarget limits the connections of this VM to one target.
 	connectionsPerTarget = 16
-	// closeStaleEvery is the interval at which idle connections are looked at, well
-	// within the time for which they stay open.
+	// closeStaleEvery is the interval at which idle connections are checked, well
+	// within the time for which they can be used.
 	closeStaleEvery = 2 * time.Second
 )
 
-// Pools holds the connections to all targets. A pool belongs to one life of a
-// target.
+// Pools holds a pool of connections for each incarnation of a target.
 type Pools struct {
 	form target.Form
 
 	mu    sync.Mutex
 	pools map[fleet.Life]*target.Pool
-	// idle are the limits of idle connections by service.
+	// idle holds, by service, how long idle connections can be used.
 	idle map[string]*target.IdleLimit
 }
 
-// NewPools returns pools of connections of a form.
+// NewPools returns pools whose connections follow the form.
 func NewPools(form target.Form) *Pools {
 	return &Pools{form: form, pools: map[fleet.Life]*target.Pool{}, idle: map[string]*target.IdleLimit{}}
 }
@@ -54,7 +53,7 @@
 	}
 }
 
-// reserve returns a connection to a target.
+// reserve returns a connection to a target for one request.
 func (p *Pools) reserve(ctx context.Context, t *fleet.Target) (*target.Exchange, error) {
 	p.mu.Lock()
 	pool := p.pools[t.Life]
@@ -66,7 +65,7 @@
 	return pool.Reserve(ctx)
 }
 
-// formOf returns the form of a service's targets; the lock is held.
+// formOf returns the form for the targets of a service. The lock must be held.
 func (p *Pools) formOf(service string) target.Form {
 	if p.idle[service] == nil {
 		p.idle[service] = &target.IdleLimit{}
@@ -76,7 +75,7 @@
 	return form
 }
 
-// Update closes the pools of targets that are gone.
+// Update closes the pools of targets that have been removed or restarted.
 func (p *Pools) Update(view *fleet.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
