--- a/internal/version/keyspace/apply.go
+++ b/internal/version/keyspace/apply.go
@@ -13,38 +13,38 @@
 func Apply(current []fleet.Slice, moves []Move, nextFence func() uint64) []fleet.Slice {
 	current = slices.Clone(current)
 	for _, m := range moves {
-		switch s := exactly(current, m); {
+		switch s := wholeSlice(current, m); {
 		case m.Joins:
 			current = joinSlices(current, m, nextFence())
 		case s != nil:
-			give(s, m.To, nextFence())
+			assign(s, m.To, nextFence())
 		default:
-			current = applyOne(current, m, nextFence())
+			current = assignRange(current, m, nextFence())
 		}
 	}
 	return current
 }
 
-// exactly returns the slice whose range is that of the move, or nil.
-func exactly(current []fleet.Slice, m Move) *fleet.Slice {
+// wholeSlice returns the slice whose range is that of the move, or nil.
+func wholeSlice(current []fleet.Slice, m Move) *fleet.Slice {
 	if s := fleet.Find(current, m.First); s != nil && s.First == m.First && s.Last == m.Last {
 		return s
 	}
 	return nil
 }
 
-// give makes a target the owner of a slice. Unless it owns the slice already, the
+// assign makes a target the owner of a slice. Unless it owns the slice already, the
 // former owner has to release the slice first.
-func give(s *fleet.Slice, to fleet.Life, fence uint64) {
+func assign(s *fleet.Slice, to fleet.Life, fence uint64) {
 	if s.Owner != to {
 		s.From = withLife(s.From, s.Owner)
 	}
 	s.Owner, s.Fence, s.Ready = to, fence, false
 }
 
-// applyOne assigns the range of a move, splitting the slices that it overlaps in
+// assignRange assigns the range of a move, splitting the slices that it overlaps in
 // part.
-func applyOne(current []fleet.Slice, m Move, fence uint64) []fleet.Slice {
+func assignRange(current []fleet.Slice, m Move, fence uint64) []fleet.Slice {
 	var result []fleet.Slice
 	placed := false
 	for _, s := range current {
@@ -59,7 +59,7 @@
 		}
 		part := s
 		part.First, part.Last = max(s.First, m.First), min(s.Last, m.Last)
-		give(&part, m.To, fence)
+		assign(&part, m.To, fence)
 		result = append(result, part)
 		placed = true
 		if s.Last > m.Last {
@@ -92,8 +92,8 @@
 	if first < 0 || last < first {
 		return current
 	}
-	apart := func(s fleet.Slice) bool { return s.Owner != m.To || len(s.From) > 0 || !s.Ready }
-	if slices.ContainsFunc(current[first:last+1], apart) {
+	unjoinable := func(s fleet.Slice) bool { return s.Owner != m.To || len(s.From) > 0 || !s.Ready }
+	if slices.ContainsFunc(current[first:last+1], unjoinable) {
 		return current
 	}
 	joined := fleet.Slice{First: m.First, Last: m.Last, Owner: m.To, Fence: fence, Ready: true}
--- a/internal/version/keyspace/plan.go
+++ b/internal/version/keyspace/plan.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// aimAt is the utilisation, relative to the mean, up to which moves fill an
+	// fillLevel is the utilisation, relative to the mean, up to which moves fill an
 	// owner.
-	aimAt = 1.02
-	// minPart is the smallest demand worth a move, in seconds of work per second.
-	minPart = 0.05
+	fillLevel = 1.02
+	// minMoveDemand is the smallest demand worth a move, in seconds of work per second.
+	minMoveDemand = 0.05
 )
 
 // Owner is a target that may own keys.
@@ -69,9 +69,9 @@
 	if len(p.owners) == 0 {
 		return nil
 	}
-	p.rehome()
+	p.reassignOrphans()
 	p.balance()
-	p.promote()
+	p.moveHotKeys()
 	return p.moves
 }
 
@@ -79,13 +79,13 @@
 type plan struct {
 	load   *Load
 	pieces []piece
-	owners map[fleet.Life]*share
+	owners map[fleet.Life]*ownerState
 	moves  []Move
-	// mean is the utilisation that all owners would have if demand were divided in
+	// meanUtilisation is the utilisation that all owners would have if demand were divided in
 	// proportion to capacity.
-	mean float64
-	// empty is the number of owners without keys.
-	empty int
+	meanUtilisation float64
+	// emptyOwners is the number of owners without keys.
+	emptyOwners int
 	// hottest ranks the owners with movable pieces by falling utilisation, coldest
 	// ranks all owners by rising utilisation.
 	hottest, coldest ranking
@@ -102,63 +102,63 @@
 	fixed bool
 }
 
-// share is the state of one owner during planning.
-type share struct {
+// ownerState is the state of one owner during planning.
+type ownerState struct {
 	Owner
-	demand float64
-	pieces int
+	demand     float64
+	pieceCount int
 	// movable holds the indexes of the owner's pieces that are not fixed.
 	movable []int
-	// hottest and coldest are the owner's indexes in the rankings of these names;
+	// hottestIndex and coldestIndex are the owner's indexes in the rankings of these names;
 	// -1 if it is not ranked.
-	hottest, coldest int
+	hottestIndex, coldestIndex int
 }
 
-func (s *share) utilisation() float64 { return s.demand / s.Capacity }
+func (s *ownerState) utilisation() float64 { return s.demand / s.Capacity }
 
 func newPlan(current []fleet.Slice, owners []Owner, load *Load) *plan {
-	p := &plan{load: load, owners: map[fleet.Life]*share{}}
-	capacity, demand, most := 0.0, 0.0, 0.0
+	p := &plan{load: load, owners: map[fleet.Life]*ownerState{}}
+	capacity, demand, maxCapacity := 0.0, 0.0, 0.0
 	for _, o := range owners {
 		if o.Capacity > 0 {
-			p.owners[o.Life] = &share{Owner: o, hottest: -1, coldest: -1}
+			p.owners[o.Life] = &ownerState{Owner: o, hottestIndex: -1, coldestIndex: -1}
 			capacity += o.Capacity
-			most = max(most, o.Capacity)
+			maxCapacity = max(maxCapacity, o.Capacity)
 		}
 	}
 	for _, s := range current {
-		d := load.of(s.First, s.Last)
+		d := load.rangeDemand(s.First, s.Last)
 		// Demand for a single key beyond the highest capacity cannot be served by
 		// any owner, so it does not count towards the mean.
-		demand += d - load.above(most, s.First, s.Last)
+		demand += d - load.excessDemand(maxCapacity, s.First, s.Last)
 		p.pieces = append(p.pieces, piece{first: s.First, last: s.Last, owner: s.Owner, demand: d, fixed: len(s.From) > 0 || !s.Ready})
 		if o := p.owners[s.Owner]; o != nil {
 			o.demand += d
-			o.pieces++
+			o.pieceCount++
 			if last := len(p.pieces) - 1; !p.pieces[last].fixed {
 				o.movable = append(o.movable, last)
 			}
 		}
 	}
 	if capacity > 0 {
-		p.mean = demand / capacity
+		p.meanUtilisation = demand / capacity
 	}
-	p.rank()
+	p.buildRankings()
 	return p
 }
 
-// rank builds the rankings and counts the owners without keys.
-func (p *plan) rank() {
-	p.hottest = ranking{order{
-		place: func(s *share) *int { return &s.hottest },
-		before: func(a, b *share) bool {
+// buildRankings builds the rankings and counts the owners without keys.
+func (p *plan) buildRankings() {
+	p.hottest = ranking{ownerHeap{
+		index: func(s *ownerState) *int { return &s.hottestIndex },
+		before: func(a, b *ownerState) bool {
 			ua, ub := a.utilisation(), b.utilisation()
 			return ua > ub || ua == ub && a.ID < b.ID
 		},
 	}}
-	p.coldest = ranking{order{
-		place: func(s *share) *int { return &s.coldest },
-		before: func(a, b *share) bool {
+	p.coldest = ranking{ownerHeap{
+		index: func(s *ownerState) *int { return &s.coldestIndex },
+		before: func(a, b *ownerState) bool {
 			ua, ub := a.utilisation(), b.utilisation()
 			return ua < ub || ua == ub && a.ID < b.ID
 		},
@@ -168,16 +168,16 @@
 		if len(o.movable) > 0 {
 			p.hottest.add(o)
 		}
-		if o.pieces == 0 {
-			p.empty++
+		if o.pieceCount == 0 {
+			p.emptyOwners++
 		}
 	}
 }
 
-// rehome reassigns the pieces of owners without capacity, the busiest first. A
+// reassignOrphans reassigns the pieces of owners without capacity, the busiest first. A
 // piece with more demand than one owner should get is split.
-func (p *plan) rehome() {
-	orphans := p.byDemand(func(c *piece) bool { return p.owners[c.owner] == nil })
+func (p *plan) reassignOrphans() {
+	orphans := p.piecesByDemand(func(c *piece) bool { return p.owners[c.owner] == nil })
 	for _, i := range orphans {
 		p.spread(p.pieces[i])
 	}
@@ -187,22 +187,22 @@
 func (p *plan) spread(rest piece) {
 	for {
 		to := p.coldest.first(nil)
-		room := aimAt*p.mean*to.Capacity - to.demand
-		cut, ok := p.prefix(rest, max(room, minPart), minPart)
-		if !ok || rest.demand <= max(room, minPart)*1.3 {
-			p.move(rest.first, rest.last, rest.demand, nil, to)
+		room := fillLevel*p.meanUtilisation*to.Capacity - to.demand
+		cut, ok := p.prefix(rest, max(room, minMoveDemand), minMoveDemand)
+		if !ok || rest.demand <= max(room, minMoveDemand)*1.3 {
+			p.addMove(rest.first, rest.last, rest.demand, nil, to)
 			return
 		}
-		p.move(rest.first, cut.last, cut.demand, nil, to)
+		p.addMove(rest.first, cut.last, cut.demand, nil, to)
 		rest.first, rest.demand = cut.last+1, rest.demand-cut.demand
 	}
 }
 
-// byDemand returns the indexes of the pieces that match, the busiest first.
-func (p *plan) byDemand(of func(*piece) bool) []int {
+// piecesByDemand returns the indexes of the pieces that match, the busiest first.
+func (p *plan) piecesByDemand(match func(*piece) bool) []int {
 	var found []int
 	for i := range p.pieces {
-		if of(&p.pieces[i]) {
+		if match(&p.pieces[i]) {
 			found = append(found, i)
 		}
 	}
@@ -212,7 +212,7 @@
 
 // movableOf returns the indexes of the pieces that an owner may give away, the
 // busiest first.
-func (p *plan) movableOf(o *share) []int {
+func (p *plan) movableOf(o *ownerState) []int {
 	found := slices.Clone(o.movable)
 	p.sortByDemand(found)
 	return found
@@ -224,43 +224,43 @@
 
 // prefix returns the longest proper prefix of a piece with at most the given
 // demand; false if it is empty or its demand is below the given minimum.
-func (p *plan) prefix(source piece, demand, least float64) (piece, bool) {
-	stop, taken := p.longest(int(source.first), int(source.last), 1, demand)
-	return piece{first: source.first, last: uint16(stop - 1), demand: taken}, stop > int(source.first) && taken >= least
+func (p *plan) prefix(source piece, demand, minDemand float64) (piece, bool) {
+	stop, sum := p.accumulate(int(source.first), int(source.last), 1, demand)
+	return piece{first: source.first, last: uint16(stop - 1), demand: sum}, stop > int(source.first) && sum >= minDemand
 }
 
-// longest walks the keys from one towards another, exclusive, for as long as their
+// accumulate walks the keys from one towards another, exclusive, for as long as their
 // total demand is at most limit. It returns the key at which it stopped, which is
 // not included, and the total demand.
-func (p *plan) longest(from, to, step int, limit float64) (stop int, taken float64) {
+func (p *plan) accumulate(from, to, step int, limit float64) (stop int, sum float64) {
 	for stop = from; stop != to; stop += step {
-		d := float64(p.load.keys[stop]) + idleKey
-		if taken+d > limit {
+		d := float64(p.load.keys[stop]) + idleKeyDemand
+		if sum+d > limit {
 			break
 		}
-		taken += d
+		sum += d
 	}
-	return stop, taken
+	return stop, sum
 }
 
-// move adds a move to the plan and updates both owners; from is nil if the keys had
+// addMove adds a addMove to the plan and updates both owners; from is nil if the keys had
 // no usable owner.
-func (p *plan) move(first, last uint16, demand float64, from, to *share) {
+func (p *plan) addMove(first, last uint16, demand float64, from, to *ownerState) {
 	p.moves = append(p.moves, Move{First: first, Last: last, To: to.Life})
-	if to.pieces == 0 {
-		p.empty--
+	if to.pieceCount == 0 {
+		p.emptyOwners--
 	}
 	to.demand += demand
-	to.pieces++
-	p.changed(to)
+	to.pieceCount++
+	p.updateRank(to)
 	if from != nil {
 		from.demand -= demand
-		p.changed(from)
+		p.updateRank(from)
 	}
 }
 
-// changed updates the rank of an owner whose demand has changed.
-func (p *plan) changed(o *share) {
-	p.hottest.changed(o)
-	p.coldest.changed(o)
+// updateRank updates the rank of an owner whose demand has updateRank.
+func (p *plan) updateRank(o *ownerState) {
+	p.hottest.update(o)
+	p.coldest.update(o)
 }
--- a/internal/version/keyspace/plan_test.go
+++ b/internal/version/keyspace/plan_test.go
@@ -20,26 +20,26 @@
 	return list
 }
 
-// world holds the slices of a service. Moves that are applied to it can be completed
+// cluster holds the slices of a service. Moves that are applied to it can be completed
 // at once by settle.
-type world struct {
+type cluster struct {
 	slices []fleet.Slice
 	fence  uint64
 }
 
-func (w *world) apply(moves []keyspace.Move) {
+func (w *cluster) apply(moves []keyspace.Move) {
 	w.slices = keyspace.Apply(w.slices, moves, func() uint64 { w.fence++; return w.fence })
 }
 
 // settle completes all moves.
-func (w *world) settle() {
+func (w *cluster) settle() {
 	for i := range w.slices {
 		w.slices[i].From, w.slices[i].Ready = nil, true
 	}
 }
 
-// check verifies that every key has exactly one owner.
-func (w *world) check(t interface{ Fatalf(string, ...any) }) {
+// checkOwners verifies that every key has exactly one owner.
+func (w *cluster) checkOwners(t interface{ Fatalf(string, ...any) }) {
 	next := 0
 	for _, s := range w.slices {
 		if int(s.First) != next || s.Last < s.First {
@@ -52,8 +52,8 @@
 	}
 }
 
-// utilisation returns the highest utilisation of an owner relative to the mean.
-func (w *world) utilisation(list []keyspace.Owner, demand func(key int) float64) float64 {
+// peakUtilisation returns the highest peakUtilisation of an owner relative to the mean.
+func (w *cluster) peakUtilisation(list []keyspace.Owner, demand func(key int) float64) float64 {
 	total, highest := 0.0, 0.0
 	by := map[fleet.Life]float64{}
 	for _, s := range w.slices {
@@ -85,9 +85,9 @@
 	return load
 }
 
-// rounds plans and completes the moves count times, each fourth time by Tidy if that
+// planRounds plans and completes the moves count times, each fourth time by Tidy if that
 // has any moves, and returns the number of moves.
-func (w *world) rounds(count int, list []keyspace.Owner, demand func(key int) float64) (moves int) {
+func (w *cluster) planRounds(count int, list []keyspace.Owner, demand func(key int) float64) (moves int) {
 	load := loadOf(time.Now(), demand)
 	for i := range count {
 		var plan []keyspace.Move
@@ -139,23 +139,23 @@
 // two plans, which is half a second.
 func TestHotSetIsSpread(t *testing.T) {
 	list := owners(14)
-	w := &world{}
+	w := &cluster{}
 	w.apply(keyspace.Initial(list))
 	w.settle()
-	before := w.utilisation(list, hotSet)
-	w.rounds(2, list, hotSet)
-	w.check(t)
-	after := w.utilisation(list, hotSet)
+	before := w.peakUtilisation(list, hotSet)
+	w.planRounds(2, list, hotSet)
+	w.checkOwners(t)
+	after := w.peakUtilisation(list, hotSet)
 	assert.Assert(t, before > 4 && after < 1.5, "before %f, after %f of the mean", before, after)
 }
 
 // TestEvenLoadStays checks that no keys move under an even load.
 func TestEvenLoadStays(t *testing.T) {
 	list := owners(14)
-	w := &world{}
+	w := &cluster{}
 	w.apply(keyspace.Initial(list))
 	w.settle()
-	assert.Equal(t, w.rounds(3, list, even), 0)
+	assert.Equal(t, w.planRounds(3, list, even), 0)
 }
 
 // TestSingleHotKeyStaysAlone checks that a key whose demand exceeds the capacity of any
@@ -163,7 +163,7 @@
 // have gone elsewhere.
 func TestSingleHotKeyStaysAlone(t *testing.T) {
 	list := owners(8)
-	w := &world{}
+	w := &cluster{}
 	w.apply(keyspace.Initial(list))
 	w.settle()
 	demand := func(key int) float64 {
@@ -172,14 +172,14 @@
 		}
 		return 4.0 / fleet.Keys
 	}
-	w.rounds(6, list, demand)
-	moved := w.rounds(6, list, demand)
+	w.planRounds(6, list, demand)
+	moved := w.planRounds(6, list, demand)
 	assert.Assert(t, moved <= 2, "%d more moves after six plans", moved)
 }
 
-// besides returns the demand for the other keys of the owner of a key, and the highest
+// sharedWith returns the demand for the other keys of the owner of a key, and the highest
 // utilisation among the other owners.
-func (w *world) besides(key uint16, list []keyspace.Owner, demand func(key int) float64) (shared, highest float64) {
+func (w *cluster) sharedWith(key uint16, list []keyspace.Owner, demand func(key int) float64) (shared, highest float64) {
 	by := map[fleet.Life]float64{}
 	for _, s := range w.slices {
 		for k := int(s.First); k <= int(s.Last); k++ {
@@ -201,14 +201,14 @@
 func TestHotKeyHoldsUpNobody(t *testing.T) {
 	const hot = 5010
 	list := owners(40)
-	w := &world{}
+	w := &cluster{}
 	w.apply(keyspace.Initial(list))
 	w.settle()
 	demand := func(set int) func(int) float64 { return withHotKey(hot, 24, busySet(set, 0.5, 10.0/fleet.Keys)) }
 	for _, set := range []int{5000, 30000, 5020} {
-		w.rounds(4, list, demand(set))
-		w.check(t)
-		shared, highest := w.besides(hot, list, demand(set))
+		w.planRounds(4, list, demand(set))
+		w.checkOwners(t)
+		shared, highest := w.sharedWith(hot, list, demand(set))
 		assert.Check(t, highest <= 0.75, "set at %d: an owner is utilised at %f of its capacity, the mean is 0.5", set, highest)
 		assert.Check(t, shared < 0.2, "set at %d: the owner of the hot key has demand of %f for other keys", set, shared)
 	}
@@ -220,14 +220,14 @@
 	const hot = 700
 	list := owners(8)
 	list[5].Capacity = 4
-	w := &world{}
+	w := &cluster{}
 	w.apply(keyspace.Initial(list))
 	w.settle()
 	demand := withHotKey(hot, 9, func(int) float64 { return 3.0 / fleet.Keys })
-	w.rounds(4, list, demand)
-	w.check(t)
+	w.planRounds(4, list, demand)
+	w.checkOwners(t)
 	assert.Equal(t, fleet.Find(w.slices, hot).Owner, list[5].Life)
-	moved := w.rounds(6, list, demand)
+	moved := w.planRounds(6, list, demand)
 	assert.Assert(t, moved <= 2, "%d more moves after four plans", moved)
 }
 
@@ -235,19 +235,19 @@
 // only a few slices per owner behind, and that no keys move once the load is even.
 func TestColdSlicesAreJoined(t *testing.T) {
 	list := owners(14)
-	w := &world{}
+	w := &cluster{}
 	w.apply(keyspace.Initial(list))
 	w.settle()
 	most := 0
 	for i := range 60 {
-		w.rounds(20, list, busySet(i*7919%65000, 0.2, 2.0/fleet.Keys))
-		w.check(t)
+		w.planRounds(20, list, busySet(i*7919%65000, 0.2, 2.0/fleet.Keys))
+		w.checkOwners(t)
 		most = max(most, len(w.slices))
 	}
 	assert.Check(t, most <= 14*12, "%d slices", most)
-	w.rounds(120, list, even)
+	w.planRounds(120, list, even)
 	assert.Check(t, len(w.slices) <= 2*14, "%d slices after a time of even load", len(w.slices))
-	assert.Equal(t, w.rounds(10, list, even), 0)
+	assert.Equal(t, w.planRounds(10, list, even), 0)
 }
 
 // TestJoinedSlicesAreHeldByOneOwner checks that slices are not joined if, since the
@@ -276,28 +276,28 @@
 // capacity over the others.
 func TestLeavingOwnerIsEmptied(t *testing.T) {
 	list := owners(8)
-	w := &world{}
+	w := &cluster{}
 	w.apply(keyspace.Initial(list))
 	w.settle()
 	list[3].Capacity = 0
-	w.rounds(1, list, even)
-	w.check(t)
+	w.planRounds(1, list, even)
+	w.checkOwners(t)
 	for _, s := range w.slices {
 		assert.Assert(t, s.Owner != list[3].Life)
 	}
-	assert.Assert(t, w.utilisation(list, even) < 1.5, "%f", w.utilisation(list, even))
+	assert.Assert(t, w.peakUtilisation(list, even) < 1.5, "%f", w.peakUtilisation(list, even))
 }
 
 // TestEmptyOwnerGetsKeys checks that an owner that joins gets keys even if the load is
 // low.
 func TestEmptyOwnerGetsKeys(t *testing.T) {
 	list := owners(4)
-	w := &world{}
+	w := &cluster{}
 	w.apply(keyspace.Initial(list))
 	w.settle()
 	list = append(list, keyspace.Owner{Life: fleet.Life{ID: "new", Born: 1}, Capacity: 2})
-	w.rounds(2, list, func(int) float64 { return 1.0 / fleet.Keys })
-	w.check(t)
+	w.planRounds(2, list, func(int) float64 { return 1.0 / fleet.Keys })
+	w.checkOwners(t)
 	found := false
 	for _, s := range w.slices {
 		found = found || s.Owner.ID == "new"
@@ -309,10 +309,10 @@
 // hold nothing: a slice that moves again before its move has ended lists both.
 func TestFormerOwnersAreKept(t *testing.T) {
 	a, b, c := fleet.Life{ID: "a"}, fleet.Life{ID: "b"}, fleet.Life{ID: "c"}
-	w := &world{slices: []fleet.Slice{{First: 0, Last: 65535, Owner: a, Fence: 1, Ready: true}}, fence: 1}
+	w := &cluster{slices: []fleet.Slice{{First: 0, Last: 65535, Owner: a, Fence: 1, Ready: true}}, fence: 1}
 	w.apply([]keyspace.Move{{First: 0, Last: 99, To: b}})
 	w.apply([]keyspace.Move{{First: 0, Last: 49, To: c}})
-	w.check(t)
+	w.checkOwners(t)
 	assert.DeepEqual(t, w.slices[0].From, []fleet.Life{a, b})
 	assert.DeepEqual(t, w.slices[1].From, []fleet.Life{a})
 	assert.Equal(t, w.slices[2].Fence, uint64(1))
@@ -325,7 +325,7 @@
 func TestPlansKeepOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := owners(rapid.IntRange(1, 9).Draw(t, "owners"))
-		w := &world{}
+		w := &cluster{}
 		w.apply(keyspace.Initial(list))
 		w.settle()
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
@@ -334,13 +334,13 @@
 			}
 			centre := rapid.IntRange(0, fleet.Keys-1).Draw(t, "centre")
 			before := append([]fleet.Slice(nil), w.slices...)
-			w.rounds(1, list, func(key int) float64 {
+			w.planRounds(1, list, func(key int) float64 {
 				if key >= centre && key < centre+50 {
 					return 0.2
 				}
 				return 1.0 / fleet.Keys
 			})
-			w.check(t)
+			w.checkOwners(t)
 			for _, s := range w.slices {
 				old := fleet.Find(before, s.First)
 				if old.Owner != s.Owner && s.Fence <= old.Fence {
--- a/internal/version/keyspace/rank.go
+++ b/internal/version/keyspace/rank.go
@@ -4,62 +4,62 @@
 
 // ranking is a heap of owners whose order changes with every move. It finds the
 // first of many owners without comparing all of them.
-type ranking struct{ order }
+type ranking struct{ ownerHeap }
 
 // add inserts an owner.
-func (r *ranking) add(s *share) { heap.Push(&r.order, s) }
+func (r *ranking) add(s *ownerState) { heap.Push(&r.ownerHeap, s) }
 
-// changed restores the order after the utilisation of an owner has changed. An
+// update restores the order after the utilisation of an owner has update. An
 // owner that is not ranked is ignored.
-func (r *ranking) changed(s *share) {
-	if i := *r.place(s); i >= 0 {
-		heap.Fix(&r.order, i)
+func (r *ranking) update(s *ownerState) {
+	if i := *r.index(s); i >= 0 {
+		heap.Fix(&r.ownerHeap, i)
 	}
 }
 
-// drop removes an owner.
-func (r *ranking) drop(s *share) { heap.Remove(&r.order, *r.place(s)) }
+// remove removes an owner.
+func (r *ranking) remove(s *ownerState) { heap.Remove(&r.ownerHeap, *r.index(s)) }
 
 // first returns the first owner except the given one; nil if there is none.
-func (r *ranking) first(other *share) *share {
-	var found *share
+func (r *ranking) first(except *ownerState) *ownerState {
+	var found *ownerState
 	// The first owner is the root; if that is excluded, it is one of its children.
-	for i := 0; i < min(3, len(r.shares)); i++ {
-		if s := r.shares[i]; s != other && (found == nil || r.before(s, found)) {
+	for i := 0; i < min(3, len(r.owners)); i++ {
+		if s := r.owners[i]; s != except && (found == nil || r.before(s, found)) {
 			found = s
 		}
 	}
 	return found
 }
 
-// order implements heap.Interface.
-type order struct {
-	shares []*share
-	before func(a, b *share) bool
-	// place returns where an owner's index in shares is kept; the index is -1 if the
+// ownerHeap implements heap.Interface.
+type ownerHeap struct {
+	owners []*ownerState
+	before func(a, b *ownerState) bool
+	// index returns where an owner's index in shares is kept; the index is -1 if the
 	// owner is not ranked.
-	place func(*share) *int
+	index func(*ownerState) *int
 }
 
-func (o *order) Len() int { return len(o.shares) }
+func (o *ownerHeap) Len() int { return len(o.owners) }
 
-func (o *order) Less(i, j int) bool { return o.before(o.shares[i], o.shares[j]) }
+func (o *ownerHeap) Less(i, j int) bool { return o.before(o.owners[i], o.owners[j]) }
 
-func (o *order) Swap(i, j int) {
-	o.shares[i], o.shares[j] = o.shares[j], o.shares[i]
-	*o.place(o.shares[i]), *o.place(o.shares[j]) = i, j
+func (o *ownerHeap) Swap(i, j int) {
+	o.owners[i], o.owners[j] = o.owners[j], o.owners[i]
+	*o.index(o.owners[i]), *o.index(o.owners[j]) = i, j
 }
 
-func (o *order) Push(x any) {
-	s := x.(*share)
-	*o.place(s) = len(o.shares)
-	o.shares = append(o.shares, s)
+func (o *ownerHeap) Push(x any) {
+	s := x.(*ownerState)
+	*o.index(s) = len(o.owners)
+	o.owners = append(o.owners, s)
 }
 
-func (o *order) Pop() any {
-	last := len(o.shares) - 1
-	s := o.shares[last]
-	o.shares = o.shares[:last]
-	*o.place(s) = -1
+func (o *ownerHeap) Pop() any {
+	last := len(o.owners) - 1
+	s := o.owners[last]
+	o.owners = o.owners[:last]
+	*o.index(s) = -1
 	return s
 }
--- a/internal/version/keyspace/scale_test.go
+++ b/internal/version/keyspace/scale_test.go
@@ -11,8 +11,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/keyspace"
 )
 
-// fewDemanded is a demand for one key in 500.
-func fewDemanded(key int) float64 {
+// sparseDemand is a demand for one key in 500.
+func sparseDemand(key int) float64 {
 	if key%500 == 0 {
 		return 0.05
 	}
@@ -21,10 +21,10 @@
 
 func idle(int) float64 { return 0 }
 
-// joined returns a world whose keys are divided among a fifth of the owners; the others
-// have joined since and have no keys.
-func joined(list []keyspace.Owner) *world {
-	w := &world{}
+// withJoinedOwners returns a world whose keys are divided among a fifth of the owners; the others
+// have withJoinedOwners since and have no keys.
+func withJoinedOwners(list []keyspace.Owner) *cluster {
+	w := &cluster{}
 	w.apply(keyspace.Initial(list[:len(list)/5]))
 	w.settle()
 	return w
@@ -35,11 +35,11 @@
 // plans four times a second, on the goroutine that responds to all VMs. The bound is on
 // the ratio of two measurements on the same machine, each the best of ten.
 func TestCostOfAPlanGrowsAsTheOwners(t *testing.T) {
-	for name, demand := range map[string]func(int) float64{"idle": idle, "few keys in demand": fewDemanded, "all keys in demand": even} {
+	for name, demand := range map[string]func(int) float64{"idle": idle, "few keys in demand": sparseDemand, "all keys in demand": even} {
 		t.Run(name, func(t *testing.T) {
 			perPlan := func(count int) time.Duration {
 				list := owners(count)
-				w, load := joined(list), loadOf(time.Now(), demand)
+				w, load := withJoinedOwners(list), loadOf(time.Now(), demand)
 				best := time.Hour
 				for range 10 {
 					began := time.Now()
@@ -59,9 +59,9 @@
 // those without.
 func TestOwnersThatJoinGetKeysWithoutDemand(t *testing.T) {
 	list := owners(100)
-	w := joined(list)
-	w.rounds(4, list, idle)
-	w.check(t)
+	w := withJoinedOwners(list)
+	w.planRounds(4, list, idle)
+	w.checkOwners(t)
 	widths := map[fleet.Life]int{}
 	for _, s := range w.slices {
 		widths[s.Owner] += int(s.Last) - int(s.First) + 1
