--- a/internal/process/observer/observer.go
+++ b/internal/process/observer/observer.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	// returnTime is how long entries may take to reappear after a store outage. The
+	// reappearTime is how long entries may take to reappear after a store outage. The
 	// platform documents about two seconds.
-	returnTime = 2300 * time.Millisecond
-	// forgetGone is how long a removed target is remembered, so that its keys can be
+	reappearTime = 2300 * time.Millisecond
+	// removedRetention is how long a removed target is remembered, so that its keys can be
 	// taken back from it.
-	forgetGone = 30 * time.Second
+	removedRetention = 30 * time.Second
 )
 
 // Names holds the store prefixes of the watched objects and their decoders.
@@ -60,16 +60,16 @@
 	// listed holds the prefixes that have been listed since Start.
 	listed map[string]bool
 
-	current *fleet.Config
-	targets map[string]*fleet.Target
-	// goneAt holds when targets that are still remembered were removed.
-	goneAt    map[string]time.Time
+	fleetConfig *fleet.Config
+	targets     map[string]*fleet.Target
+	// removedAt holds when targets that are still remembered were removed.
+	removedAt map[string]time.Time
 	evacuated map[string]bool
-	// evacuationEnded holds when the last evacuation of a failure domain ended.
-	evacuationEnded map[string]time.Time
-	// trustGoneFrom is the time until which missing entries may still reappear after
+	// evacuationEndedAt holds when the last evacuation of a failure domain ended.
+	evacuationEndedAt map[string]time.Time
+	// reappearUntil is the time until which missing entries may still reappear after
 	// an outage.
-	trustGoneFrom time.Time
+	reappearUntil time.Time
 	// outage is set from a call that finds the store unavailable to the next that
 	// succeeds.
 	outage bool
@@ -80,8 +80,8 @@
 // New returns an observer that watches nothing yet.
 func New(config Config) *Observer {
 	return &Observer{
-		config: config, listed: map[string]bool{}, targets: map[string]*fleet.Target{}, goneAt: map[string]time.Time{},
-		evacuated: map[string]bool{}, evacuationEnded: map[string]time.Time{}, missing: map[string]bool{},
+		config: config, listed: map[string]bool{}, targets: map[string]*fleet.Target{}, removedAt: map[string]time.Time{},
+		evacuated: map[string]bool{}, evacuationEndedAt: map[string]time.Time{}, missing: map[string]bool{},
 	}
 }
 
@@ -90,13 +90,13 @@
 
 // Complete reports whether all prefixes have been listed since Start and a
 // configuration is known.
-func (o *Observer) Complete() bool { return len(o.listed) == 3 && o.current != nil }
+func (o *Observer) Complete() bool { return len(o.listed) == 3 && o.fleetConfig != nil }
 
 // Seed merges the declarations that another VM has reported. It is called before
 // Start.
 func (o *Observer) Seed(view *fleet.View) {
-	if view.Config != nil && (o.current == nil || view.Config.Version > o.current.Version) {
-		o.current = view.Config
+	if view.Config != nil && (o.fleetConfig == nil || view.Config.Version > o.fleetConfig.Version) {
+		o.fleetConfig = view.Config
 	}
 	for id, t := range view.Targets {
 		if known := o.targets[id]; known == nil || known.Born < t.Born {
@@ -117,12 +117,12 @@
 	if o.cancel != nil {
 		return
 	}
-	o.outage, o.trustGoneFrom = false, storeFailedAt.Add(returnTime)
+	o.outage, o.reappearUntil = false, storeFailedAt.Add(reappearTime)
 	clear(o.missing)
 	ctx, o.cancel = context.WithCancel(ctx)
-	o.follow(ctx, o.config.Names.Config, o.configListed, o.configChanged)
-	o.follow(ctx, o.config.Names.Targets, o.targetsListed, o.targetsChanged)
-	o.follow(ctx, o.config.Names.Evacuations, o.evacuationsListed, o.evacuationsChanged)
+	o.watchPrefix(ctx, o.config.Names.Config, o.configListed, o.configChanged)
+	o.watchPrefix(ctx, o.config.Names.Targets, o.targetsListed, o.targetsChanged)
+	o.watchPrefix(ctx, o.config.Names.Evacuations, o.evacuationsListed, o.evacuationsChanged)
 }
 
 // Stop ends the watches; what they have found is kept.
@@ -135,9 +135,9 @@
 	clear(o.listed)
 }
 
-// follow runs one watch. Its callbacks are posted to the loop and dropped once the
+// watchPrefix runs one watch. Its callbacks are posted to the loop and dropped once the
 // watch has been stopped.
-func (o *Observer) follow(ctx context.Context, prefix string, listed, changed func([]store.Object)) {
+func (o *Observer) watchPrefix(ctx context.Context, prefix string, listed, changed func([]store.Object)) {
 	post := func(f func()) {
 		o.config.Loop.Post(func() {
 			if ctx.Err() == nil {
@@ -150,20 +150,20 @@
 			post(func() { o.listed[prefix] = true; listed(objects); o.config.Changed() })
 		},
 		Changed: func(objects []store.Object) { post(func() { changed(objects); o.config.Changed() }) },
-		Contact: func(err error) { post(func() { o.contact(prefix, err) }) },
+		Contact: func(err error) { post(func() { o.recordContact(prefix, err) }) },
 	})
 }
 
-// contact records the result of a call to the store. For a while after an outage,
+// recordContact records the result of a call to the store. For a while after an outage,
 // missing entries may still reappear.
-func (o *Observer) contact(prefix string, err error) {
+func (o *Observer) recordContact(prefix string, err error) {
 	if err != nil {
 		events.WatchInterrupted.Log(o.config.Logger).Str("prefix", prefix).Err(err).Send()
 	}
 	switch {
 	case err == nil && o.outage:
 		o.outage = false
-		o.trustGoneFrom = time.Now().Add(returnTime)
+		o.reappearUntil = time.Now().Add(reappearTime)
 	case fault.Is(err, fault.Unavailable):
 		o.outage = true
 	}
@@ -174,16 +174,16 @@
 // targets that were removed long ago, and reports whether anything changed.
 func (o *Observer) Tick(now time.Time) bool {
 	changed := false
-	if len(o.missing) > 0 && !o.outage && now.After(o.trustGoneFrom) {
+	if len(o.missing) > 0 && !o.outage && now.After(o.reappearUntil) {
 		for id := range o.missing {
-			o.gone(id, now)
+			o.markRemoved(id, now)
 		}
 		clear(o.missing)
 		changed = true
 	}
-	for id, at := range o.goneAt {
-		if now.Sub(at) > forgetGone {
-			delete(o.goneAt, id)
+	for id, at := range o.removedAt {
+		if now.Sub(at) > removedRetention {
+			delete(o.removedAt, id)
 			delete(o.targets, id)
 			changed = true
 		}
@@ -192,7 +192,7 @@
 }
 
 // Config returns the configuration, or nil if none is known.
-func (o *Observer) Config() *fleet.Config { return o.current }
+func (o *Observer) Config() *fleet.Config { return o.fleetConfig }
 
 // Targets returns the targets by id, in a map of its own.
 func (o *Observer) Targets() map[string]*fleet.Target { return maps.Clone(o.targets) }
@@ -212,10 +212,10 @@
 			events.DeclarationInvalid.Log(o.config.Logger).Str("object", object.Name).Err(err).Send()
 			continue
 		}
-		if o.current != nil && config.Version <= o.current.Version {
+		if o.fleetConfig != nil && config.Version <= o.fleetConfig.Version {
 			continue
 		}
-		o.current = config
+		o.fleetConfig = config
 		events.ConfigurationObserved.Log(o.config.Logger).Uint64("version", config.Version).
 			Int("routes", len(config.Routes)).Int64("revision", object.Version).Send()
 	}
@@ -224,13 +224,13 @@
 func (o *Observer) targetsListed(objects []store.Object) {
 	present := map[string]bool{}
 	for _, object := range objects {
-		if t := o.target(object); t != nil {
+		if t := o.applyTarget(object); t != nil {
 			present[t.ID] = true
 		}
 	}
 	for id := range o.targets {
 		if !present[id] {
-			o.absent(id)
+			o.handleMissing(id)
 		}
 	}
 }
@@ -238,16 +238,16 @@
 func (o *Observer) targetsChanged(objects []store.Object) {
 	for _, object := range objects {
 		if object.Deleted {
-			o.absent(object.Name[len(o.config.Names.Targets):])
+			o.handleMissing(object.Name[len(o.config.Names.Targets):])
 			continue
 		}
-		o.target(object)
+		o.applyTarget(object)
 	}
 }
 
-// target applies one entry and returns its target; nil if the entry is invalid or
+// applyTarget applies one entry and returns its applyTarget; nil if the entry is invalid or
 // older than what is known.
-func (o *Observer) target(object store.Object) *fleet.Target {
+func (o *Observer) applyTarget(object store.Object) *fleet.Target {
 	now := time.Now()
 	t, err := o.config.Names.DecodeTarget(object, now)
 	if err == nil {
@@ -265,11 +265,11 @@
 		events.TargetObserved.Log(o.config.Logger).Str("target", t.ID).Int64("born", t.Born).Str("service", t.Service).
 			Str("address", t.Address).Bool("leaving", t.Leaving).Dur("cold", time.Until(t.ColdUntil)).Int64("revision", object.Version).Send()
 	}
-	if ended, ok := o.evacuationEnded[t.FailureDomain]; ok && known != nil && known.Life == t.Life {
-		t.ColdUntil = later(t.ColdUntil, o.coldAfter(t, ended))
+	if ended, ok := o.evacuationEndedAt[t.FailureDomain]; ok && known != nil && known.Life == t.Life {
+		t.ColdUntil = laterOf(t.ColdUntil, o.coldUntil(t, ended))
 	}
 	delete(o.missing, t.ID)
-	delete(o.goneAt, t.ID)
+	delete(o.removedAt, t.ID)
 	o.targets[t.ID] = t
 	return t
 }
@@ -279,29 +279,29 @@
 // target has restarted.
 func (o *Observer) checkService(t *fleet.Target) error {
 	known := o.targets[t.ID]
-	if known == nil || known.Service == t.Service || o.current == nil || o.current.Service(t.Service) != nil {
+	if known == nil || known.Service == t.Service || o.fleetConfig == nil || o.fleetConfig.Service(t.Service) != nil {
 		return nil
 	}
 	return fault.New(fault.Invalid, "the entry is ignored; correct its writer", "target %q belongs to service %q, but its entry names the undeclared service %q", t.ID, known.Service, t.Service)
 }
 
-// absent handles the missing entry of a target: the target counts as removed, at once
+// handleMissing handles the missing entry of a target: the target counts as removed, at once
 // or, around an outage, only if the entry does not reappear in time.
-func (o *Observer) absent(id string) {
-	if o.targets[id] == nil || !o.goneAt[id].IsZero() {
+func (o *Observer) handleMissing(id string) {
+	if o.targets[id] == nil || !o.removedAt[id].IsZero() {
 		return
 	}
 	now := time.Now()
-	if o.outage || now.Before(o.trustGoneFrom) {
+	if o.outage || now.Before(o.reappearUntil) {
 		o.missing[id] = true
 		return
 	}
-	o.gone(id, now)
+	o.markRemoved(id, now)
 }
 
-// gone marks a target as leaving whose entry has been removed. The target is
+// markRemoved marks a target as leaving whose entry has been removed. The target is
 // remembered for a while, since it may still hold keys.
-func (o *Observer) gone(id string, now time.Time) {
+func (o *Observer) markRemoved(id string, now time.Time) {
 	t := o.targets[id]
 	if t == nil {
 		return
@@ -309,7 +309,7 @@
 	copied := *t
 	copied.Leaving = true
 	o.targets[id] = &copied
-	o.goneAt[id] = now
+	o.removedAt[id] = now
 	events.TargetGone.Log(o.config.Logger).Str("target", id).Int64("born", t.Born).Str("service", t.Service).Send()
 }
 
@@ -355,31 +355,31 @@
 	}
 	delete(o.evacuated, domain)
 	now := time.Now()
-	o.evacuationEnded[domain] = now
+	o.evacuationEndedAt[domain] = now
 	for id, t := range o.targets {
 		if t.FailureDomain != domain {
 			continue
 		}
 		copied := *t
-		copied.ColdUntil = later(copied.ColdUntil, o.coldAfter(t, now))
+		copied.ColdUntil = laterOf(copied.ColdUntil, o.coldUntil(t, now))
 		o.targets[id] = &copied
 	}
 	events.DomainRestored.Log(o.config.Logger).Str("failure_domain", domain).Send()
 }
 
-// coldAfter returns when a target that turned cold at the given time is warm again.
-func (o *Observer) coldAfter(t *fleet.Target, from time.Time) time.Time {
-	if o.current == nil {
-		return from
+// coldUntil returns when a target that turned cold at the given time is warm again.
+func (o *Observer) coldUntil(t *fleet.Target, since time.Time) time.Time {
+	if o.fleetConfig == nil {
+		return since
 	}
-	service := o.current.Service(t.Service)
+	service := o.fleetConfig.Service(t.Service)
 	if service == nil {
-		return from
+		return since
 	}
-	return from.Add(service.Cold)
+	return since.Add(service.Cold)
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/process/observer/observer_test.go
+++ b/internal/process/observer/observer_test.go
@@ -16,37 +16,37 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// unreliable is a store that can be made unavailable.
-type unreliable struct {
+// unreliableStore is a store that can be made unavailable.
+type unreliableStore struct {
 	*store.Memory
 	down atomic.Bool
 }
 
 var errDown = fault.New(fault.Unavailable, "try again", "the store is down")
 
-func (s *unreliable) List(ctx context.Context, prefix string) ([]store.Object, int64, error) {
+func (s *unreliableStore) List(ctx context.Context, prefix string) ([]store.Object, int64, error) {
 	if s.down.Load() {
 		return nil, 0, errDown
 	}
 	return s.Memory.List(ctx, prefix)
 }
 
-func (s *unreliable) Watch(ctx context.Context, prefix string, after int64) ([]store.Object, int64, error) {
+func (s *unreliableStore) Watch(ctx context.Context, prefix string, after int64) ([]store.Object, int64, error) {
 	if s.down.Load() {
 		return nil, 0, errDown
 	}
 	return s.Memory.Watch(ctx, prefix, after)
 }
 
-// observed is an observer whose store has an entry for target t0 only.
-type observed struct {
+// fixture is an observer whose store has an entry for target t0 only.
+type fixture struct {
 	*Observer
-	store *unreliable
+	store *unreliableStore
 }
 
-func newObserved(t *testing.T) *observed {
-	logger, posts := zerolog.Nop(), loop.New()
-	o := &observed{store: &unreliable{Memory: store.NewMemory()}}
+func newFixture(t *testing.T) *fixture {
+	logger, controlLoop := zerolog.Nop(), loop.New()
+	o := &fixture{store: &unreliableStore{Memory: store.NewMemory()}}
 	_, err := o.store.Put(t.Context(), "targets/t0", []byte("t0"), store.Absent)
 	assert.NilError(t, err)
 	o.Observer = New(Config{
@@ -56,15 +56,15 @@
 				return &fleet.Target{Life: fleet.Life{ID: string(object.Value), Born: 1}}, nil
 			},
 		},
-		Store: o.store, Loop: posts, Logger: &logger, Changed: func() {}, Contact: func(error) {},
+		Store: o.store, Loop: controlLoop, Logger: &logger, Changed: func() {}, Contact: func(error) {},
 	})
-	go posts.Run(t.Context())
+	go controlLoop.Run(t.Context())
 	return o
 }
 
 // watch starts the observer, seeded with the targets t0 and t1, and ticks it for a
 // time.
-func (o *observed) watch(t *testing.T, storeFailedAt time.Time, during time.Duration) {
+func (o *fixture) watch(t *testing.T, storeFailedAt time.Time, during time.Duration) {
 	o.config.Loop.Call(func() {
 		targets := map[string]*fleet.Target{}
 		for _, id := range []string{"t0", "t1"} {
@@ -78,25 +78,25 @@
 	}
 }
 
-// leaves reports whether a target is marked as leaving.
-func (o *observed) leaves(id string) (leaves bool) {
-	o.config.Loop.Call(func() { leaves = o.targets[id].Leaving })
-	return leaves
+// isLeaving reports whether a target is marked as leaving.
+func (o *fixture) isLeaving(id string) (leaving bool) {
+	o.config.Loop.Call(func() { leaving = o.targets[id].Leaving })
+	return leaving
 }
 
 // TestRemovalIsBelievedAtOnceByALaterWatch checks that a missing entry counts as removed
 // at once, although an earlier watch ended during a store outage.
 func TestRemovalIsBelievedAtOnceByALaterWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newObserved(t)
+		o := newFixture(t)
 		o.store.down.Store(true)
 		o.watch(t, time.Time{}, time.Second)
 		o.config.Loop.Call(o.Stop)
 		o.store.down.Store(false)
 		time.Sleep(10 * time.Second)
 		o.watch(t, time.Time{}, 100*time.Millisecond)
-		assert.Assert(t, o.leaves("t1"))
-		assert.Assert(t, !o.leaves("t0"))
+		assert.Assert(t, o.isLeaving("t1"))
+		assert.Assert(t, !o.isLeaving("t0"))
 	})
 }
 
@@ -104,11 +104,11 @@
 // after an outage that ended just before the watch began.
 func TestEntriesMayComeBackAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newObserved(t)
-		o.watch(t, time.Now(), returnTime-100*time.Millisecond)
-		assert.Assert(t, !o.leaves("t1"))
+		o := newFixture(t)
+		o.watch(t, time.Now(), reappearTime-100*time.Millisecond)
+		assert.Assert(t, !o.isLeaving("t1"))
 		time.Sleep(200 * time.Millisecond)
 		o.config.Loop.Call(func() { o.Tick(time.Now()) })
-		assert.Assert(t, o.leaves("t1"))
+		assert.Assert(t, o.isLeaving("t1"))
 	})
 }
