--- a/internal/request/forward/body.go
+++ b/internal/request/forward/body.go
@@ -18,45 +18,45 @@
 	empty  bool
 
 	mu sync.Mutex
-	// kept holds the bytes read so far; dropped is set once they exceeded the limit
+	// buffered holds the bytes read so far; dropped is set once they exceeded the limit
 	// and were discarded.
-	kept    []byte
-	dropped bool
+	buffered []byte
+	dropped  bool
 	// err is the error of the last read from the caller, io.EOF at the end.
 	err error
 	// attempt is the number of the latest reader; only that one may read on.
 	attempt int
 	// reading is set while a goroutine reads from the caller; read is signalled when
 	// it is done.
-	reading bool
-	read    sync.Cond
+	reading  bool
+	readDone sync.Cond
 }
 
 // newReplayBody returns the body of a request; up to limit bytes of it are kept.
 func newReplayBody(r *http.Request, limit int) *replayBody {
 	empty := r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0
 	b := &replayBody{source: r.Body, limit: limit, empty: empty}
-	b.read.L = &b.mu
+	b.readDone.L = &b.mu
 	return b
 }
 
-// awaited is implemented by bodies whose caller may wait for 100 Continue before it
+// continueWaiter is implemented by bodies whose caller may wait for 100 Continue before it
 // sends them.
-type awaited interface{ Awaited() bool }
+type continueWaiter interface{ Awaited() bool }
 
 // readAhead reads the body, as far as it can be kept, until the first attempt
 // begins. A caller's disconnect is noticed only while its connection is read, and a
 // target's slot is not occupied while a slow caller sends.
 func (b *replayBody) readAhead() {
-	if body, ok := b.source.(awaited); ok && body.Awaited() {
+	if body, ok := b.source.(continueWaiter); ok && body.Awaited() {
 		return
 	}
 	buffer := make([]byte, readAheadBytes)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for b.attempt == 0 && !b.reading && b.err == nil && len(b.kept) < b.limit {
-		n := b.readSource(buffer[:min(len(buffer), b.limit-len(b.kept))])
-		b.kept = append(b.kept, buffer[:n]...)
+	for b.attempt == 0 && !b.reading && b.err == nil && len(b.buffered) < b.limit {
+		n := b.readSource(buffer[:min(len(buffer), b.limit-len(b.buffered))])
+		b.buffered = append(b.buffered, buffer[:n]...)
 	}
 }
 
@@ -68,7 +68,7 @@
 	n, err := b.source.Read(p)
 	b.mu.Lock()
 	b.reading, b.err = false, err
-	b.read.Broadcast()
+	b.readDone.Broadcast()
 	return n
 }
 
@@ -83,16 +83,16 @@
 	return !b.dropped && (b.err == nil || b.err == io.EOF)
 }
 
-// next returns the body for the next attempt. Readers of earlier attempts fail from
+// newReader returns the body for the newReader attempt. Readers of earlier attempts fail from
 // then on.
-func (b *replayBody) next() io.ReadCloser {
+func (b *replayBody) newReader() io.ReadCloser {
 	if b.empty {
 		return http.NoBody
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.attempt++
-	b.read.Broadcast()
+	b.readDone.Broadcast()
 	return &bodyReader{body: b, attempt: b.attempt}
 }
 
@@ -100,7 +100,7 @@
 type bodyReader struct {
 	body    *replayBody
 	attempt int
-	at      int
+	offset  int
 }
 
 // Read implements io.Reader.
@@ -112,36 +112,36 @@
 		switch {
 		case r.attempt != b.attempt:
 			return 0, io.ErrClosedPipe
-		case r.at < len(b.kept) && !b.dropped:
-			n := copy(p, b.kept[r.at:])
-			r.at += n
+		case r.offset < len(b.buffered) && !b.dropped:
+			n := copy(p, b.buffered[r.offset:])
+			r.offset += n
 			return n, nil
 		case b.err != nil:
 			return 0, b.err
 		case b.reading:
-			b.read.Wait()
+			b.readDone.Wait()
 		default:
-			return r.readOn(p)
+			return r.readMore(p)
 		}
 	}
 }
 
-// readOn reads from the caller beyond what has been read before. The lock must be
+// readMore reads from the caller beyond what has been read before. The lock must be
 // held.
-func (r *bodyReader) readOn(p []byte) (int, error) {
+func (r *bodyReader) readMore(p []byte) (int, error) {
 	b := r.body
 	n := b.readSource(p)
 	if !b.dropped {
-		if len(b.kept)+n > b.limit {
-			b.dropped, b.kept = true, nil
+		if len(b.buffered)+n > b.limit {
+			b.dropped, b.buffered = true, nil
 		} else {
-			b.kept = append(b.kept, p[:n]...)
+			b.buffered = append(b.buffered, p[:n]...)
 		}
 	}
 	if r.attempt != b.attempt {
 		return 0, io.ErrClosedPipe
 	}
-	r.at += n
+	r.offset += n
 	return n, b.err
 }
 
--- a/internal/request/forward/deliver.go
+++ b/internal/request/forward/deliver.go
@@ -18,19 +18,19 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// answer is a target's response. A small one has been read to its end, so that the
+// response is a target's response. A small one has been read to its end, so that the
 // request can be retried if the response breaks off.
-type answer struct {
+type response struct {
 	*target.Answer
 	cancel  context.CancelFunc
 	took    time.Duration
 	load    fleet.Load
 	hasLoad bool
-	// head is the beginning of the body; complete is set if it is the whole body.
-	head     []byte
+	// prefix is the beginning of the body; complete is set if it is the whole body.
+	prefix   []byte
 	complete bool
-	// ended makes sure that the permit is given back only once.
-	ended sync.Once
+	// endOnce makes sure that the permit is given back only once.
+	endOnce sync.Once
 }
 
 // copyHeaders copies all headers but the hop-by-hop ones.
@@ -42,8 +42,8 @@
 	}
 }
 
-// outgoing returns the request to be sent to a target.
-func (x *exchange) outgoing(ctx context.Context, t *fleet.Target) *http.Request {
+// outgoingRequest returns the request to be sent to a target.
+func (x *exchange) outgoingRequest(ctx context.Context, t *fleet.Target) *http.Request {
 	header := make(http.Header, len(x.r.Header)+3)
 	copyHeaders(header, x.r.Header)
 	if _, ok := header["User-Agent"]; !ok {
@@ -53,64 +53,64 @@
 	x.handler.config.Dialect.Address(header, t.ID, time.Until(x.deadline)-transitAllowance)
 	request := &http.Request{
 		Method: x.r.Method, Host: x.r.Host, Header: header, ContentLength: x.r.ContentLength,
-		URL: &url.URL{Scheme: "http", Host: t.Address, Opaque: x.r.RequestURI}, Body: x.body.next(),
+		URL: &url.URL{Scheme: "http", Host: t.Address, Opaque: x.r.RequestURI}, Body: x.body.newReader(),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 	return request.WithContext(ctx)
 }
 
 // deliver passes a response on to the caller and gives the permit back.
-func (x *exchange) deliver(permit permits.Permit, a *answer) {
+func (x *exchange) deliver(permit permits.Permit, a *response) {
 	defer a.cancel()
 	if a.complete {
-		x.end(permit, a, x.result(a))
+		x.endPermit(permit, a, x.completeResult(a))
 	} else {
 		// The deadline frees the target even if the caller does not read.
-		defer context.AfterFunc(x.ctx, func() { x.end(permit, a, x.cut()) })()
+		defer context.AfterFunc(x.ctx, func() { x.endPermit(permit, a, x.cutResult()) })()
 	}
-	x.writeHead(a)
-	if _, err := x.w.Write(a.head); err != nil {
-		x.callerLost(permit, a)
+	x.writeHeader(a)
+	if _, err := x.w.Write(a.prefix); err != nil {
+		x.abortDelivery(permit, a)
 		return
 	}
 	if !a.complete {
 		x.stream(permit, a)
 	}
-	x.delivered(a)
+	x.recordDelivered(a)
 }
 
-// result returns the result that a complete response counts as.
-func (x *exchange) result(a *answer) admission.Result {
+// completeResult returns the completeResult that a complete response counts as.
+func (x *exchange) completeResult(a *response) admission.Result {
 	if a.Status >= http.StatusInternalServerError {
 		return admission.Failed
 	}
 	return admission.Answered
 }
 
-// cut returns the result that an incomplete response counts as.
-func (x *exchange) cut() admission.Result {
+// cutResult returns the result that an incomplete response counts as.
+func (x *exchange) cutResult() admission.Result {
 	if x.r.Context().Err() != nil {
 		return admission.Canceled
 	}
 	return admission.Broken
 }
 
-// end gives the permit of a response back. Further calls do nothing.
-func (x *exchange) end(permit permits.Permit, a *answer, result admission.Result) {
-	a.ended.Do(func() { x.handler.config.Permits.End(permit, result, a.took, a.load, a.hasLoad) })
+// endPermit gives the permit of a response back. Further calls do nothing.
+func (x *exchange) endPermit(permit permits.Permit, a *response, result admission.Result) {
+	a.endOnce.Do(func() { x.handler.config.Permits.End(permit, result, a.took, a.load, a.hasLoad) })
 }
 
-// writeHead writes the target's status and headers.
-func (x *exchange) writeHead(a *answer) {
+// writeHeader writes the target's status and headers.
+func (x *exchange) writeHeader(a *response) {
 	header := x.w.Header()
-	closing := header.Get("Connection")
+	connectionHeader := header.Get("Connection")
 	copyHeaders(header, a.Header)
-	if closing != "" {
-		header.Set("Connection", closing)
+	if connectionHeader != "" {
+		header.Set("Connection", connectionHeader)
 	}
 	switch {
 	case a.complete && x.r.Method != http.MethodHead && bodyAllowed(a.Status):
-		header.Set("Content-Length", strconv.Itoa(len(a.head)))
+		header.Set("Content-Length", strconv.Itoa(len(a.prefix)))
 	case a.ContentLength >= 0:
 		header.Set("Content-Length", strconv.FormatInt(a.ContentLength, 10))
 	}
@@ -126,24 +126,24 @@
 }
 
 // stream passes the rest of a large response on as it arrives.
-func (x *exchange) stream(permit permits.Permit, a *answer) {
+func (x *exchange) stream(permit permits.Permit, a *response) {
 	controller := http.NewResponseController(x.w)
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := a.Body.Read(buffer)
 		if n > 0 {
 			if _, writeErr := x.w.Write(buffer[:n]); writeErr != nil {
-				x.callerLost(permit, a)
+				x.abortDelivery(permit, a)
 				return
 			}
 			_ = controller.Flush()
 		}
 		if errors.Is(err, io.EOF) {
-			x.end(permit, a, x.result(a))
+			x.endPermit(permit, a, x.completeResult(a))
 			return
 		}
 		if err != nil {
-			x.end(permit, a, x.cut())
+			x.endPermit(permit, a, x.cutResult())
 			x.handler.metrics.failed("answer-cut")
 			x.log(events.ResponseCut).Err(err).Send()
 			// The caller must see a broken transfer, not a complete shorter response.
@@ -152,17 +152,17 @@
 	}
 }
 
-// callerLost ends an exchange whose response could not be written to the caller.
-func (x *exchange) callerLost(permit permits.Permit, a *answer) {
+// abortDelivery ends an exchange whose response could not be written to the caller.
+func (x *exchange) abortDelivery(permit permits.Permit, a *response) {
 	_ = a.Body.Close()
 	if !a.complete {
-		x.end(permit, a, admission.Canceled)
+		x.endPermit(permit, a, admission.Canceled)
 	}
-	x.left()
+	x.callerLeft()
 }
 
-// delivered counts and logs a response that has been passed on.
-func (x *exchange) delivered(a *answer) {
+// recordDelivered counts and logs a response that has been passed on.
+func (x *exchange) recordDelivered(a *response) {
 	x.handler.metrics.answered(x.route, time.Since(x.began), a.Status)
 	x.log(events.RequestAnswered).Int("status", a.Status).Dur("service_time", a.took).Send()
 }
--- a/internal/request/forward/exchange.go
+++ b/internal/request/forward/exchange.go
@@ -48,8 +48,8 @@
 	mayHaveRun bool
 	// arrived is set if the request may have reached the target.
 	arrived bool
-	// answer is the response to be passed on, if any.
-	answer *answer
+	// response is the response to be passed on, if any.
+	response *response
 	// cause is why there is no such response.
 	cause error
 }
@@ -57,7 +57,7 @@
 // run sends the request, to one target after another, until there is a response to
 // pass on or no further attempt is allowed, and responds to the caller.
 func (x *exchange) run() {
-	x.body = newReplayBody(x.r, keptBody)
+	x.body = newReplayBody(x.r, keptBodyBytes)
 	if x.body.streamed() {
 		go x.body.readAhead()
 	}
@@ -66,7 +66,7 @@
 	for tries := 0; ; tries++ {
 		permit, err := x.handler.config.Permits.Acquire(x.ctx, x.permitRequest(repeat))
 		if err != nil {
-			x.ended(repeat, "no-permit")
+			x.giveUpWaiting(repeat, "no-permit")
 			return
 		}
 		if permit.Refused != "" {
@@ -77,8 +77,8 @@
 		}
 		x.target = permit.Target.ID
 		o := x.attempt(permit)
-		if o.answer != nil {
-			x.deliver(permit, o.answer)
+		if o.response != nil {
+			x.deliver(permit, o.response)
 			return
 		}
 		if o.arrived {
@@ -88,11 +88,11 @@
 		repeat = repeat || o.arrived
 		x.logAttempt(permit, o)
 		if o.mayHaveRun && !idempotent {
-			x.broken(o)
+			x.respondMayHaveRun(o)
 			return
 		}
-		if !x.mayTryAgain(tries) {
-			x.givenUp(o)
+		if !x.mayRetry(tries) {
+			x.giveUp(o)
 			return
 		}
 	}
@@ -102,9 +102,9 @@
 // target.
 const maxTries = 4
 
-// mayTryAgain reports whether another attempt is possible and allowed after the given
+// mayRetry reports whether another attempt is possible and allowed after the given
 // number of failed ones, counted from 0.
-func (x *exchange) mayTryAgain(tries int) bool {
+func (x *exchange) mayRetry(tries int) bool {
 	return x.attempts < x.route.MaxAttempts && tries+1 < maxTries && x.body.replayable() && x.ctx.Err() == nil
 }
 
@@ -112,7 +112,7 @@
 	return admission.Request{
 		Service: x.service.Name, Key: x.key, Class: x.route.Class(), Domain: x.handler.config.Domain,
 		Priority: x.route.Priority, Aim: x.aim, Deadline: x.deadline, Repeat: repeat, Exclude: x.exclude,
-		Large: x.r.ContentLength > largeBody,
+		Large: x.r.ContentLength > largeBodyBytes,
 	}
 }
 
@@ -122,54 +122,54 @@
 	view := x.handler.config.View()
 	t := view.Targets[permit.Target.ID]
 	if t == nil || t.Life != permit.Target || !view.Usable(t) {
-		return x.lost(permit, outcome{result: admission.Canceled, cause: errStalePermit}, 0)
+		return x.endAttempt(permit, outcome{result: admission.Canceled, cause: errStalePermit}, 0)
 	}
 	ctx, cancel := context.WithCancel(x.ctx)
 	connection, err := x.handler.config.Pools.reserve(ctx, t)
 	if err != nil {
 		cancel()
-		return x.lost(permit, outcome{result: dialResult(err), cause: err}, 0)
+		return x.endAttempt(permit, outcome{result: dialResult(err), cause: err}, 0)
 	}
 	began := time.Now()
-	got, err := connection.Do(ctx, x.outgoing(ctx, t), x.body.streamed())
+	got, err := connection.Do(ctx, x.outgoingRequest(ctx, t), x.body.streamed())
 	took := time.Since(began)
 	if err != nil {
 		expired := ctx.Err() != nil
 		cancel()
-		return x.lost(permit, x.exchangeFailed(err, expired), took)
+		return x.endAttempt(permit, x.failureOutcome(err, expired), took)
 	}
-	return x.answered(permit, got, took, cancel)
+	return x.handleResponse(permit, got, took, cancel)
 }
 
-// answered handles a target's response whose status and headers have arrived. It
+// handleResponse handles a target's response whose status and headers have arrived. It
 // reads the beginning of the body.
-func (x *exchange) answered(permit permits.Permit, got *target.Answer, took time.Duration, cancel context.CancelFunc) outcome {
+func (x *exchange) handleResponse(permit permits.Permit, got *target.Answer, took time.Duration, cancel context.CancelFunc) outcome {
 	dialect := x.handler.config.Dialect
 	load, hasLoad := dialect.Load(got.Header)
 	if dialect.NotRun(got.Status, got.Header) {
 		_ = got.Body.Close()
 		cancel()
-		return x.notRun(permit, got.Status, took, load, hasLoad)
+		return x.handleNotRun(permit, got.Status, took, load, hasLoad)
 	}
-	if result, err := x.unfit(got); err != nil {
+	if result, err := x.checkResponse(got); err != nil {
 		_ = got.Body.Close()
 		cancel()
-		return x.lost(permit, outcome{result: result, mayHaveRun: true, arrived: true, cause: err}, took)
+		return x.endAttempt(permit, outcome{result: result, mayHaveRun: true, arrived: true, cause: err}, took)
 	}
-	head, err := readUpTo(got.Body, keptBody)
+	prefix, err := readUpTo(got.Body, keptBodyBytes)
 	if err != nil && !errors.Is(err, io.EOF) {
 		_ = got.Body.Close()
 		cancel()
-		return x.lost(permit, outcome{result: admission.Broken, mayHaveRun: true, arrived: true, cause: err}, took)
+		return x.endAttempt(permit, outcome{result: admission.Broken, mayHaveRun: true, arrived: true, cause: err}, took)
 	}
-	return outcome{answer: &answer{
-		Answer: got, cancel: cancel, took: took, load: load, hasLoad: hasLoad, head: head, complete: err != nil,
+	return outcome{response: &response{
+		Answer: got, cancel: cancel, took: took, load: load, hasLoad: hasLoad, prefix: prefix, complete: err != nil,
 	}}
 }
 
-// unfit returns an error if a response must not be passed on, and the result that the
+// checkResponse returns an error if a response must not be passed on, and the result that the
 // attempt then counts as.
-func (x *exchange) unfit(got *target.Answer) (admission.Result, error) {
+func (x *exchange) checkResponse(got *target.Answer) (admission.Result, error) {
 	switch {
 	case x.route.Kind != fleet.Idempotent && promisesNotRun(got.Status):
 		return admission.Failed, errUnstatedRefusal
@@ -195,14 +195,14 @@
 
 var errStalePermit = errors.New("the target of the permit no longer accepts requests")
 
-// lost gives back the permit of an attempt without a response to pass on.
-func (x *exchange) lost(permit permits.Permit, o outcome, took time.Duration) outcome {
+// endAttempt gives back the permit of an attempt without a response to pass on.
+func (x *exchange) endAttempt(permit permits.Permit, o outcome, took time.Duration) outcome {
 	x.handler.config.Permits.End(permit, o.result, took, fleet.Load{}, false)
 	return o
 }
 
-// notRun handles a response that states that the request did not run.
-func (x *exchange) notRun(permit permits.Permit, status int, took time.Duration, load fleet.Load, hasLoad bool) outcome {
+// handleNotRun handles a response that states that the request did not run.
+func (x *exchange) handleNotRun(permit permits.Permit, status int, took time.Duration, load fleet.Load, hasLoad bool) outcome {
 	result := admission.NotRun
 	if status == http.StatusMisdirectedRequest {
 		result = admission.NotOwner
@@ -213,12 +213,12 @@
 
 var errTargetRefused = errors.New("the target did not run the request")
 
-// exchangeFailed returns the outcome of an attempt that failed without a response.
+// failureOutcome returns the outcome of an attempt that failed without a response.
 // expired says that the attempt's context had ended.
-func (x *exchange) exchangeFailed(err error, expired bool) outcome {
+func (x *exchange) failureOutcome(err error, expired bool) outcome {
 	var failed *target.ExchangeError
-	handed := !errors.As(err, &failed) || failed.Handed
-	o := outcome{result: admission.Broken, mayHaveRun: handed, arrived: handed, cause: err}
+	sent := !errors.As(err, &failed) || failed.Handed
+	o := outcome{result: admission.Broken, mayHaveRun: sent, arrived: sent, cause: err}
 	switch {
 	case x.r.Context().Err() != nil:
 		o.result = admission.Canceled
@@ -241,45 +241,45 @@
 	return admission.Unreachable
 }
 
-// ended responds to a request whose deadline has passed, or whose caller has left,
+// giveUpWaiting responds to a request whose deadline has passed, or whose caller has left,
 // while it waited for a permit.
-func (x *exchange) ended(mayHaveRun bool, reason string) {
+func (x *exchange) giveUpWaiting(mayHaveRun bool, reason string) {
 	if x.r.Context().Err() != nil {
-		x.left()
+		x.callerLeft()
 		return
 	}
 	if mayHaveRun {
-		x.answer(http.StatusGatewayTimeout, reason)
+		x.respondError(http.StatusGatewayTimeout, reason)
 		return
 	}
 	x.refuse(reason, 0)
 }
 
-// broken responds to a request that may have run, unless the caller has left.
-func (x *exchange) broken(o outcome) {
+// respondMayHaveRun responds to a request that may have run, unless the caller has left.
+func (x *exchange) respondMayHaveRun(o outcome) {
 	if x.r.Context().Err() != nil {
-		x.left()
+		x.callerLeft()
 		return
 	}
 	status := http.StatusBadGateway
 	if o.result == admission.Timeout {
 		status = http.StatusGatewayTimeout
 	}
-	x.answer(status, "target-lost")
+	x.respondError(status, "target-lost")
 }
 
-// givenUp responds to a request after its last attempt has failed.
-func (x *exchange) givenUp(o outcome) {
+// giveUp responds to a request after its last attempt has failed.
+func (x *exchange) giveUp(o outcome) {
 	if o.mayHaveRun || x.r.Context().Err() != nil {
-		x.broken(o)
+		x.respondMayHaveRun(o)
 		return
 	}
 	x.refuse("attempts-used", 0)
 }
 
-// left records that the caller has left and aborts the handler.
-func (x *exchange) left() {
-	x.handler.metrics.left.Inc(1)
+// callerLeft records that the caller has callerLeft and aborts the handler.
+func (x *exchange) callerLeft() {
+	x.handler.metrics.callersLeft.Inc(1)
 	x.log(events.CallerLeft).Send()
 	panic(http.ErrAbortHandler)
 }
@@ -290,17 +290,17 @@
 	x.handler.config.Dialect.RetryAfter(x.w.Header(), after)
 	x.handler.metrics.refused(reason)
 	x.log(events.RequestTurnedAway).Str("reason", reason).Dur("retry_after", after).Send()
-	x.write(http.StatusServiceUnavailable, reason)
+	x.writeStatus(http.StatusServiceUnavailable, reason)
 }
 
-// answer responds with an error status of this VM's own.
-func (x *exchange) answer(status int, reason string) {
+// respondError responds with an error status of this VM's own.
+func (x *exchange) respondError(status int, reason string) {
 	x.handler.metrics.failed(reason)
 	x.log(events.RequestFailed).Int("status", status).Str("reason", reason).Send()
-	x.write(status, reason)
+	x.writeStatus(status, reason)
 }
 
-func (x *exchange) write(status int, reason string) {
+func (x *exchange) writeStatus(status int, reason string) {
 	x.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(status)
 	// The server notices if the caller has left.
--- a/internal/request/forward/forward.go
+++ b/internal/request/forward/forward.go
@@ -25,15 +25,15 @@
 const (
 	// defaultDeadline is the time that a request has if its caller names no deadline.
 	defaultDeadline = 10 * time.Second
-	// largeBody is the size of a body in bytes above which a request is kept in this
+	// largeBodyBytes is the size of a body in bytes above which a request is kept in this
 	// VM's failure domain if possible.
-	largeBody = 16 << 10
-	// keptBody is the size in bytes up to which the body of a request is kept for
+	largeBodyBytes = 16 << 10
+	// keptBodyBytes is the size in bytes up to which the body of a request is kept for
 	// retries, and a response is held back until it is complete.
-	keptBody = 128 << 10
-	// comeBackSoon is the retry delay suggested to callers while this VM lacks the
+	keptBodyBytes = 128 << 10
+	// unconfiguredRetryAfter is the retry delay suggested to callers while this VM lacks the
 	// configuration for their request.
-	comeBackSoon = 300 * time.Millisecond
+	unconfiguredRetryAfter = 300 * time.Millisecond
 	// transitAllowance is subtracted from the remaining time that targets are told,
 	// to allow for transit.
 	transitAllowance = 2 * time.Millisecond
@@ -119,27 +119,27 @@
 	view := h.config.View()
 	x := &exchange{handler: h, w: w, r: r, view: view, began: time.Now(), id: h.config.Dialect.RequestID(r.Header)}
 	if view.Config == nil {
-		x.refuse("no-configuration", comeBackSoon)
+		x.refuse("no-configuration", unconfiguredRetryAfter)
 		return nil
 	}
 	x.route = view.Config.Match(r.Host, r.URL.Path)
 	if x.route == nil {
-		x.answer(http.StatusNotFound, "no-route")
+		x.respondError(http.StatusNotFound, "no-route")
 		return nil
 	}
 	if r.ContentLength > view.Config.Limits.BodyBytes {
-		x.answer(http.StatusRequestEntityTooLarge, "body-too-large")
+		x.respondError(http.StatusRequestEntityTooLarge, "body-too-large")
 		return nil
 	}
 	x.service = view.Config.Service(x.route.Pick(rand.Float64()))
 	if x.service == nil {
-		x.refuse("no-service", comeBackSoon)
+		x.refuse("no-service", unconfiguredRetryAfter)
 		return nil
 	}
 	if x.service.Keyed {
 		key, ok := h.config.Dialect.Key(r.Header)
 		if !ok {
-			x.answer(http.StatusBadRequest, "no-key")
+			x.respondError(http.StatusBadRequest, "no-key")
 			return nil
 		}
 		x.key = key
@@ -151,12 +151,12 @@
 // setDeadline sets the aim and the deadline, the latter to the earlier of the caller's
 // deadline and the route's timeout.
 func (x *exchange) setDeadline() {
-	left, ok := x.handler.config.Dialect.Deadline(x.r.Header)
+	timeout, ok := x.handler.config.Dialect.Deadline(x.r.Header)
 	if !ok {
-		left = defaultDeadline
+		timeout = defaultDeadline
 	}
-	left = min(left, x.route.Timeout)
-	x.deadline = x.began.Add(left)
+	timeout = min(timeout, x.route.Timeout)
+	x.deadline = x.began.Add(timeout)
 	x.aim = x.began.Add(x.route.Aim)
 	x.ctx, x.cancel = context.WithDeadline(x.r.Context(), x.deadline)
 }
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -29,9 +29,9 @@
 	"github.com/chestnutcourse/chestnutcourse/platform"
 )
 
-// patience limits the wait for what is expected to happen; no result depends on its
+// eventTimeout limits the wait for what is expected to happen; no result depends on its
 // length.
-const patience = 10 * time.Second
+const eventTimeout = 10 * time.Second
 
 // fixture is a handler in front of some targets. It implements forward.Permits and
 // grants the targets in turn.
@@ -50,8 +50,8 @@
 	next    int
 	refuse  admission.Reason
 	results []admission.Result
-	// asked is when a permit was last requested.
-	asked time.Time
+	// askedAt is when a permit was last requested.
+	askedAt time.Time
 }
 
 // Acquire implements forward.Permits. It grants the targets in turn, and none once all
@@ -64,7 +64,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = time.Now()
+	f.askedAt = time.Now()
 	if f.refuse != "" {
 		return permits.Permit{Decision: admission.Decision{Refused: f.refuse, RetryAfter: 250 * time.Millisecond}}, nil
 	}
@@ -83,12 +83,12 @@
 	f.results = append(f.results, result)
 }
 
-// awaitAsked waits for a request for a permit and returns its time, from which the
+// awaitPermitRequest waits for a request for a permit and returns its time, from which the
 // deadline is counted.
-func (f *fixture) awaitAsked() time.Time {
+func (f *fixture) awaitPermitRequest() time.Time {
 	for {
 		f.mu.Lock()
-		asked := f.asked
+		asked := f.askedAt
 		f.mu.Unlock()
 		if !asked.IsZero() {
 			return asked
@@ -97,14 +97,14 @@
 	}
 }
 
-func (f *fixture) ended() []admission.Result {
+func (f *fixture) endResults() []admission.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]admission.Result(nil), f.results...)
 }
 
-// start starts a handler and one target for each of the faults, "" for none.
-func start(t *testing.T, faults ...string) *fixture {
+// startFixture starts a handler and one target for each of the faults, "" for none.
+func startFixture(t *testing.T, faults ...string) *fixture {
 	f := &fixture{view: &fleet.View{Targets: map[string]*fleet.Target{}}}
 	f.view.Config = &fleet.Config{
 		Version: 1, Limits: fleet.Limits{BodyBytes: 1 << 20, HeaderBytes: 8 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second},
@@ -121,7 +121,7 @@
 		f.addTarget(t, fmt.Sprintf("t%d", i), fault)
 	}
 	f.pools = forward.NewPools(target.Form{
-		RequestIDHeader: "Attempt-Id", Unframed: true, SkipStray: true, DialTimeout: patience, MaxIdle: time.Second,
+		RequestIDHeader: "Attempt-Id", Unframed: true, SkipStray: true, DialTimeout: eventTimeout, MaxIdle: time.Second,
 	})
 	handler := forward.New(forward.Config{
 		Domain: "a", Dialect: platform.Dialect{}, Permits: f, View: func() *fleet.View { return f.view }, Pools: f.pools,
@@ -154,19 +154,19 @@
 	}
 }
 
-type got struct {
+type callerResponse struct {
 	status int
 	body   string
 	header http.Header
 	err    error
 }
 
-func (f *fixture) send(t *testing.T, method, path, attempt, body string) got {
+func (f *fixture) send(t *testing.T, method, path, attempt, body string) callerResponse {
 	t.Helper()
 	return f.sendWithin(t, 800*time.Millisecond, method, path, attempt, body)
 }
 
-func (f *fixture) sendWithin(t *testing.T, deadline time.Duration, method, path, attempt, body string) got {
+func (f *fixture) sendWithin(t *testing.T, deadline time.Duration, method, path, attempt, body string) callerResponse {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+f.address+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -175,11 +175,11 @@
 	request.Header.Set("Request-Deadline", strconv.FormatInt(deadline.Milliseconds(), 10))
 	response, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(request)
 	if err != nil {
-		return got{err: err}
+		return callerResponse{err: err}
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
-	return got{response.StatusCode, string(content), response.Header, err}
+	return callerResponse{response.StatusCode, string(content), response.Header, err}
 }
 
 func (f *fixture) runs() (all []fencetarget.Run) {
@@ -191,7 +191,7 @@
 
 // TestAnswerIsPassedOn checks that a request and its response pass unchanged.
 func TestAnswerIsPassedOn(t *testing.T) {
-	f := start(t, "")
+	f := startFixture(t, "")
 	answer := f.send(t, "POST", "/once/x?y=%20z", "a1", "body")
 	assert.NilError(t, answer.err)
 	assert.Equal(t, answer.status, http.StatusOK)
@@ -201,7 +201,7 @@
 	assert.Equal(t, len(runs), 1)
 	assert.Equal(t, runs[0].Path, "/once/x?y=%20z")
 	assert.Equal(t, runs[0].Body, "body")
-	assert.DeepEqual(t, f.ended(), []admission.Result{admission.Answered})
+	assert.DeepEqual(t, f.endResults(), []admission.Result{admission.Answered})
 }
 
 // TestFailuresOfTheTarget checks what a caller gets, and how often the request runs,
@@ -250,7 +250,7 @@
 	} {
 		t.Run(c.fault+c.path, func(t *testing.T) {
 			t.Parallel()
-			f := start(t, c.fault, "")
+			f := startFixture(t, c.fault, "")
 			answer := f.send(t, "POST", c.path, "a1", strings.Repeat("b", 3000))
 			assert.NilError(t, answer.err)
 			assert.Equal(t, answer.status, c.status)
@@ -274,9 +274,9 @@
 // that a busy machine does not fail the test.
 func halfASecondAfter(moment time.Time) <-chan struct{} {
 	const step = 2 * time.Millisecond
-	late := make(chan struct{})
+	overdue := make(chan struct{})
 	go func() {
-		defer close(late)
+		defer close(overdue)
 		time.Sleep(time.Until(moment))
 		for passed := time.Duration(0); passed < 500*time.Millisecond; {
 			began := time.Now()
@@ -284,15 +284,15 @@
 			passed += min(time.Since(began), step+time.Millisecond)
 		}
 	}()
-	return late
+	return overdue
 }
 
 // eventually waits for a condition and fails the test if late is closed before.
-func eventually(t *testing.T, late <-chan struct{}, condition func() bool, message string) {
+func eventually(t *testing.T, overdue <-chan struct{}, condition func() bool, message string) {
 	t.Helper()
 	for !condition() {
 		select {
-		case <-late:
+		case <-overdue:
 			t.Fatal(message)
 		case <-time.After(time.Millisecond):
 		}
@@ -317,7 +317,7 @@
 // cutAtTheDeadline runs one request whose response has no end. It returns false if the
 // request did not reach its target.
 func cutAtTheDeadline(t *testing.T, fault, path string) bool {
-	f := start(t, fault, "")
+	f := startFixture(t, fault, "")
 	var ended atomic.Bool
 	var status int
 	var err error
@@ -325,8 +325,8 @@
 		status, err = f.readAll(path, 800)
 		ended.Store(true)
 	}()
-	late := halfASecondAfter(f.awaitAsked().Add(800 * time.Millisecond))
-	eventually(t, late, ended.Load, "half a second after the deadline the caller's response has not ended")
+	overdue := halfASecondAfter(f.awaitPermitRequest().Add(800 * time.Millisecond))
+	eventually(t, overdue, ended.Load, "half a second after the deadline the caller's response has not ended")
 	if len(f.targets[0].Runs()) == 0 {
 		return false
 	}
@@ -338,12 +338,12 @@
 	default:
 		t.Fatalf("status %d, %v", status, err)
 	}
-	eventually(t, late, func() bool { return f.inFlight() == 0 && f.pools.Open() == 0 }, "the connection is still held half a second after the deadline")
+	eventually(t, overdue, func() bool { return f.inFlight() == 0 && f.pools.Open() == 0 }, "the connection is still held half a second after the deadline")
 	want := admission.Broken
 	if status == http.StatusGatewayTimeout {
 		want = admission.Timeout
 	}
-	assert.DeepEqual(t, f.ended(), []admission.Result{want})
+	assert.DeepEqual(t, f.endResults(), []admission.Result{want})
 	return true
 }
 
@@ -368,22 +368,22 @@
 // TestCallerThatDoesNotReadHoldsNoPermit checks that the permit is given back at the
 // deadline even if the caller does not read the response.
 func TestCallerThatDoesNotReadHoldsNoPermit(t *testing.T) {
-	f := start(t, "flood")
+	f := startFixture(t, "flood")
 	conn, err := net.Dial("tcp", f.address)
 	assert.NilError(t, err)
 	defer conn.Close()
 	_, err = io.WriteString(conn, "GET /safe/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a1\r\nRequest-Deadline: 300\r\n\r\n")
 	assert.NilError(t, err)
-	late := halfASecondAfter(f.awaitAsked().Add(300 * time.Millisecond))
-	eventually(t, late, func() bool { return len(f.ended()) > 0 }, "the permit is still held half a second after the deadline")
-	<-late
-	assert.DeepEqual(t, f.ended(), []admission.Result{admission.Broken})
+	overdue := halfASecondAfter(f.awaitPermitRequest().Add(300 * time.Millisecond))
+	eventually(t, overdue, func() bool { return len(f.endResults()) > 0 }, "the permit is still held half a second after the deadline")
+	<-overdue
+	assert.DeepEqual(t, f.endResults(), []admission.Result{admission.Broken})
 }
 
 // TestRefusedRequestKeepsNoConnection checks that the connection is closed after a
 // refusal: the target could write the refusal a second time, for the same attempt.
 func TestRefusedRequestKeepsNoConnection(t *testing.T) {
-	f := start(t, "refuse")
+	f := startFixture(t, "refuse")
 	assert.Equal(t, f.send(t, "POST", "/once/", "a1", "body").status, http.StatusServiceUnavailable)
 	assert.Equal(t, f.pools.Open(), 0)
 }
@@ -391,7 +391,7 @@
 // TestRefusalSaysWhenToComeBack checks that a refusal has a Retry-After header and that
 // the request has not run.
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	f := start(t, "")
+	f := startFixture(t, "")
 	f.refuse = admission.WouldBeLate
 	answer := f.send(t, "GET", "/safe/", "a1", "")
 	assert.Equal(t, answer.status, http.StatusServiceUnavailable)
@@ -402,7 +402,7 @@
 // TestWithoutConfigurationNothingIsDenied checks that a VM without a configuration
 // responds with 503, not 404.
 func TestWithoutConfigurationNothingIsDenied(t *testing.T) {
-	f := start(t, "")
+	f := startFixture(t, "")
 	config := f.view.Config
 	assert.Equal(t, f.send(t, "GET", "/unknown/", "a1", "").status, http.StatusNotFound)
 	view := *f.view
@@ -415,7 +415,7 @@
 // TestStalePermitIsNotUsed checks that a permit is given back unused if its target is
 // leaving or has restarted since.
 func TestStalePermitIsNotUsed(t *testing.T) {
-	f := start(t, "", "")
+	f := startFixture(t, "", "")
 	f.view.Targets["t0"].Leaving = true
 	answer := f.send(t, "POST", "/once/", "a1", "x")
 	assert.Equal(t, answer.body, fencetarget.Body("t1", "a1"))
@@ -429,7 +429,7 @@
 // TestCallerThatLeavesCancels checks that the target's work is canceled within half a
 // second after its caller has left.
 func TestCallerThatLeavesCancels(t *testing.T) {
-	f := start(t)
+	f := startFixture(t)
 	canceled := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -456,7 +456,7 @@
 // TestLargeAnswerIsStreamed checks that a response above the size that is held back
 // arrives complete.
 func TestLargeAnswerIsStreamed(t *testing.T) {
-	f := start(t)
+	f := startFixture(t)
 	content := bytes.Repeat([]byte("0123456789"), 100_000)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
@@ -479,10 +479,10 @@
 func TestLeavingWithABodyIsNoticed(t *testing.T) {
 	for name, sent := range map[string]int{"all": 40_000, "a part": 10_000, "no body": 0} {
 		t.Run(name, func(t *testing.T) {
-			f := start(t, "")
+			f := startFixture(t, "")
 			f.waiting = make(chan struct{}, 1)
 			for i := range f.view.Config.Routes {
-				f.view.Config.Routes[i].Timeout = patience
+				f.view.Config.Routes[i].Timeout = eventTimeout
 			}
 			connection, err := net.Dial("tcp", f.address)
 			assert.NilError(t, err)
@@ -503,7 +503,7 @@
 // TestBodyReadAheadArrivesWhole checks that a body that is read ahead arrives complete
 // at the first target and at the next, below and above the size that is kept.
 func TestBodyReadAheadArrivesWhole(t *testing.T) {
-	f := start(t, "refuse", "")
+	f := startFixture(t, "refuse", "")
 	for _, size := range []int{1, 5000, 128 << 10, 300_000} {
 		id := fmt.Sprint("a", size)
 		body := strings.Repeat(id, size/len(id)+1)[:size]
@@ -522,7 +522,7 @@
 // TestRefusedUploadKeepsItsConnection checks that the caller's connection stays open if
 // its request is refused after the whole body has arrived and been read ahead.
 func TestRefusedUploadKeepsItsConnection(t *testing.T) {
-	f := start(t, "")
+	f := startFixture(t, "")
 	f.refuse = admission.WouldBeLate
 	connection, err := net.Dial("tcp", f.address)
 	assert.NilError(t, err)
--- a/internal/request/forward/hostile_test.go
+++ b/internal/request/forward/hostile_test.go
@@ -18,30 +18,30 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// bytesPlayed is what a faulty target writes in response to a request, byte for byte.
-type bytesPlayed struct {
-	// early is written before the request's body is read, late afterwards.
-	early, late string
-	// again is then written over and over until the connection is closed.
-	again string
-	// kept leaves the connection open at the end, reset resets it; it is closed
+// byteScript is what a faulty target writes in response to a request, byte for byte.
+type byteScript struct {
+	// beforeBody is written before the request's body is read, afterBody afterwards.
+	beforeBody, afterBody string
+	// repeated is then written over and over until the connection is closed.
+	repeated string
+	// keepOpen leaves the connection open at the end, reset resets it; it is closed
 	// otherwise.
-	kept, reset bool
-	// refused is set if the target does not run the request.
-	refused bool
-	// answered is set if the caller must get the target's response.
-	answered bool
+	keepOpen, reset bool
+	// notRun is set if the target does not run the request.
+	notRun bool
+	// responseExpected is set if the caller must get the target's response.
+	responseExpected bool
 }
 
 // rawTarget plays bytes for requests whose id begins with "a". It responds to all
 // others as a target without faults does.
 type rawTarget struct {
-	played bytesPlayed
+	script byteScript
 	runs   atomic.Int64
 }
 
-func (f *fixture) addRaw(t *testing.T, id string, played bytesPlayed) *rawTarget {
-	raw := &rawTarget{played: played}
+func (f *fixture) addRaw(t *testing.T, id string, script byteScript) *rawTarget {
+	raw := &rawTarget{script: script}
 	address := rawserver.Listen(t, func(socket *net.TCPConn) { raw.serve(socket, id) })
 	f.targets = append(f.targets, fencetarget.New(fencetarget.Settings{ID: id}))
 	f.view.Targets[id] = &fleet.Target{
@@ -60,107 +60,107 @@
 		attempt := request.Header.Get("Attempt-Id")
 		if !strings.HasPrefix(attempt, "a") {
 			_, _ = io.Copy(io.Discard, request.Body)
-			_, _ = io.WriteString(socket, ownAnswer(id, attempt))
+			_, _ = io.WriteString(socket, completeResponse(id, attempt))
 			continue
 		}
-		if !r.played.refused {
+		if !r.script.notRun {
 			r.runs.Add(1)
 		}
-		if r.played.early != "" {
-			_, _ = io.WriteString(socket, r.played.early)
+		if r.script.beforeBody != "" {
+			_, _ = io.WriteString(socket, r.script.beforeBody)
 			time.Sleep(20 * time.Millisecond)
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		_, err = io.WriteString(socket, r.played.late)
-		for text := strings.Repeat(r.played.again, 100); err == nil && text != ""; {
+		_, err = io.WriteString(socket, r.script.afterBody)
+		for text := strings.Repeat(r.script.repeated, 100); err == nil && text != ""; {
 			_, err = io.WriteString(socket, text)
 		}
-		if r.played.reset {
+		if r.script.reset {
 			time.Sleep(20 * time.Millisecond)
 			_ = socket.SetLinger(0)
 		}
-		if !r.played.kept {
+		if !r.script.keepOpen {
 			return
 		}
 	}
 }
 
-// ownAnswer returns the complete response of a target to an attempt.
-func ownAnswer(id, attempt string) string {
-	return headOf(attempt) + "Content-Length: " + fmt.Sprint(len(fencetarget.Body(id, attempt))) + "\r\n\r\n" + fencetarget.Body(id, attempt)
+// completeResponse returns the complete response of a target to an attempt.
+func completeResponse(id, attempt string) string {
+	return responseHead(attempt) + "Content-Length: " + fmt.Sprint(len(fencetarget.Body(id, attempt))) + "\r\n\r\n" + fencetarget.Body(id, attempt)
 }
 
-// headOf returns the beginning of the head of a response to an attempt.
-func headOf(attempt string) string {
+// responseHead returns the beginning of the head of a response to an attempt.
+func responseHead(attempt string) string {
 	return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attempt + "\r\nServer-Seal: " + fencetarget.Seal(attempt) + "\r\n"
 }
 
-// refusalOf returns a response, with the body "full", that states that an attempt did
+// refusalResponse returns a response, with the body "full", that states that an attempt did
 // not run.
-func refusalOf(attempt string) string {
+func refusalResponse(attempt string) string {
 	return "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: " + attempt + "\r\nNot-Executed: 1\r\nContent-Length: 4\r\n\r\nfull"
 }
 
-// playedBytes returns what the faulty target t0 writes in response to the attempt a1,
+// byteScripts returns what the faulty target t0 writes in response to the attempt a1,
 // by the name of the fault.
-func playedBytes() map[string]bytesPlayed {
-	own, earlier, refusal := ownAnswer("t0", "a1"), refusalOf("earlier"), refusalOf("a1")
+func byteScripts() map[string]byteScript {
+	own, earlier, refusal := completeResponse("t0", "a1"), refusalResponse("earlier"), refusalResponse("a1")
 	chunked := strings.Replace(refusal, "Content-Length: 4\r\n\r\nfull", "Transfer-Encoding: chunked\r\n\r\n", 1)
 	status := func(text, status string) string { return strings.Replace(text, "200 OK", status, 1) }
 	old := func(text string) string { return strings.Replace(text, "HTTP/1.1", "HTTP/1.0", 1) }
 	const oneMore = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-	all := map[string]bytesPlayed{
-		"earlier refusal before the body":        {early: earlier, late: own, kept: true, answered: true},
-		"earlier refusal after a continue":       {early: "HTTP/1.1 100 Continue\r\n\r\n" + earlier, late: own, kept: true, answered: true},
-		"half a refusal before the body":         {early: earlier[:40], late: earlier[40:] + own, kept: true, answered: true},
-		"earlier refusal after the answer":       {late: own + earlier, kept: true, answered: true},
-		"half a refusal after the answer":        {late: own + earlier[:40], kept: true, answered: true},
-		"earlier refusal and no answer":          {early: earlier, kept: true},
-		"earlier refusal, then the end":          {early: earlier},
-		"earlier refusal, then a reset":          {early: earlier, reset: true},
-		"earlier refusal without id":             {early: strings.Replace(earlier, "Attempt-Id: earlier\r\n", "", 1), late: own, kept: true, answered: true},
-		"earlier refusal of HTTP/1.0":            {early: old(earlier), late: own, kept: true},
-		"earlier refusal without length":         {early: strings.Replace(earlier, "Content-Length: 4\r\n", "", 1), late: own, kept: true},
-		"earlier refusal without end":            {early: strings.Replace(earlier, "Content-Length: 4\r\n\r\nfull", "\r\n", 1), again: "full"},
-		"earlier chunked refusal, cut":           {early: strings.Replace(chunked, "a1", "earlier", 1) + "4\r\nfu", late: own, kept: true},
-		"answer, then the body is read":          {early: own, kept: true, answered: true},
-		"refusal":                                {late: refusal, kept: true, refused: true},
-		"refusal before the body":                {early: refusal, kept: true, refused: true},
-		"refusal before the body, then the end":  {early: refusal, reset: true, refused: true},
-		"refusal, twice":                         {late: refusal + refusal, kept: true, refused: true},
-		"refusal, chunked and cut":               {late: chunked + "4\r\nfu", refused: true},
-		"refusal, chunked and without end":       {late: chunked, again: "4\r\nfull\r\n", refused: true},
-		"refusal without end":                    {late: strings.Replace(refusal, "Content-Length: 4\r\n", "", 1), again: "full", refused: true},
-		"refusal of HTTP/1.0":                    {late: old(refusal), refused: true},
-		"refusal of HTTP/1.0 without length":     {late: old(strings.Replace(refusal, "Content-Length: 4\r\n", "", 1)), refused: true},
-		"refusal, id twice":                      {late: strings.Replace(refusal, "Not-", "attempt-id: a1\r\nNot-", 1), refused: true},
-		"refusal, two ids":                       {late: strings.Replace(refusal, "Not-", "ATTEMPT-ID: earlier\r\nNot-", 1)},
-		"refusal without its statement":          {late: strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), kept: true},
-		"refusal without its statement or end":   {late: strings.Replace(strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), "Content-Length: 4\r\n", "", 1), again: "full"},
-		"refusal, cut in its statement":          {late: refusal[:strings.Index(refusal, "Executed")]},
-		"refusal, cut before its last line ends": {late: strings.SplitAfter(refusal, "Length: 4\r\n")[0]},
-		"redirect without end":                   {late: status(headOf("a1"), "302 Found") + "Location: /x\r\n\r\n", again: "more"},
-		"no content, and bytes without end":      {late: status(headOf("a1"), "204 No Content") + "\r\n", again: "more"},
-		"not modified, and bytes without end":    {late: status(headOf("a1"), "304 Not Modified") + "\r\n", again: "more"},
-		"informational heads, then the answer":   {late: strings.Repeat(oneMore, 200) + own, kept: true, answered: true},
-		"informational heads without end":        {late: "", again: oneMore},
-		"informational heads, then the end":      {late: strings.Repeat(oneMore, 20)},
-		"informational refusal":                  {late: "HTTP/1.1 103 Early Hints\r\nAttempt-Id: a1\r\nNot-Executed: 1\r\n\r\n"},
-		"no seal":                                {late: "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\n\r\n"},
-		"no seal, with a length":                 {late: "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nContent-Length: 0\r\n\r\n", kept: true},
-		"no seal nor content":                    {late: "HTTP/1.1 204 No Content\r\nAttempt-Id: a1\r\n\r\n", kept: true},
-		"an empty seal, in chunks":               {late: "HTTP/1.1 201 Created\r\nAttempt-Id: a1\r\nServer-Seal:\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
-		"chunks, cut":                            {late: headOf("a1") + "Transfer-Encoding: chunked\r\n\r\n4\r\nansw\r\n"},
-		"chunks of HTTP/1.0, cut":                {late: old(headOf("a1")) + "Transfer-Encoding: chunked\r\n\r\n4\r\nansw\r\n"},
+	all := map[string]byteScript{
+		"earlier refusal before the body":        {beforeBody: earlier, afterBody: own, keepOpen: true, responseExpected: true},
+		"earlier refusal after a continue":       {beforeBody: "HTTP/1.1 100 Continue\r\n\r\n" + earlier, afterBody: own, keepOpen: true, responseExpected: true},
+		"half a refusal before the body":         {beforeBody: earlier[:40], afterBody: earlier[40:] + own, keepOpen: true, responseExpected: true},
+		"earlier refusal after the answer":       {afterBody: own + earlier, keepOpen: true, responseExpected: true},
+		"half a refusal after the answer":        {afterBody: own + earlier[:40], keepOpen: true, responseExpected: true},
+		"earlier refusal and no answer":          {beforeBody: earlier, keepOpen: true},
+		"earlier refusal, then the end":          {beforeBody: earlier},
+		"earlier refusal, then a reset":          {beforeBody: earlier, reset: true},
+		"earlier refusal without id":             {beforeBody: strings.Replace(earlier, "Attempt-Id: earlier\r\n", "", 1), afterBody: own, keepOpen: true, responseExpected: true},
+		"earlier refusal of HTTP/1.0":            {beforeBody: old(earlier), afterBody: own, keepOpen: true},
+		"earlier refusal without length":         {beforeBody: strings.Replace(earlier, "Content-Length: 4\r\n", "", 1), afterBody: own, keepOpen: true},
+		"earlier refusal without end":            {beforeBody: strings.Replace(earlier, "Content-Length: 4\r\n\r\nfull", "\r\n", 1), repeated: "full"},
+		"earlier chunked refusal, cut":           {beforeBody: strings.Replace(chunked, "a1", "earlier", 1) + "4\r\nfu", afterBody: own, keepOpen: true},
+		"answer, then the body is read":          {beforeBody: own, keepOpen: true, responseExpected: true},
+		"refusal":                                {afterBody: refusal, keepOpen: true, notRun: true},
+		"refusal before the body":                {beforeBody: refusal, keepOpen: true, notRun: true},
+		"refusal before the body, then the end":  {beforeBody: refusal, reset: true, notRun: true},
+		"refusal, twice":                         {afterBody: refusal + refusal, keepOpen: true, notRun: true},
+		"refusal, chunked and cut":               {afterBody: chunked + "4\r\nfu", notRun: true},
+		"refusal, chunked and without end":       {afterBody: chunked, repeated: "4\r\nfull\r\n", notRun: true},
+		"refusal without end":                    {afterBody: strings.Replace(refusal, "Content-Length: 4\r\n", "", 1), repeated: "full", notRun: true},
+		"refusal of HTTP/1.0":                    {afterBody: old(refusal), notRun: true},
+		"refusal of HTTP/1.0 without length":     {afterBody: old(strings.Replace(refusal, "Content-Length: 4\r\n", "", 1)), notRun: true},
+		"refusal, id twice":                      {afterBody: strings.Replace(refusal, "Not-", "attempt-id: a1\r\nNot-", 1), notRun: true},
+		"refusal, two ids":                       {afterBody: strings.Replace(refusal, "Not-", "ATTEMPT-ID: earlier\r\nNot-", 1)},
+		"refusal without its statement":          {afterBody: strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), keepOpen: true},
+		"refusal without its statement or end":   {afterBody: strings.Replace(strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), "Content-Length: 4\r\n", "", 1), repeated: "full"},
+		"refusal, cut in its statement":          {afterBody: refusal[:strings.Index(refusal, "Executed")]},
+		"refusal, cut before its last line ends": {afterBody: strings.SplitAfter(refusal, "Length: 4\r\n")[0]},
+		"redirect without end":                   {afterBody: status(responseHead("a1"), "302 Found") + "Location: /x\r\n\r\n", repeated: "more"},
+		"no content, and bytes without end":      {afterBody: status(responseHead("a1"), "204 No Content") + "\r\n", repeated: "more"},
+		"not modified, and bytes without end":    {afterBody: status(responseHead("a1"), "304 Not Modified") + "\r\n", repeated: "more"},
+		"informational heads, then the answer":   {afterBody: strings.Repeat(oneMore, 200) + own, keepOpen: true, responseExpected: true},
+		"informational heads without end":        {afterBody: "", repeated: oneMore},
+		"informational heads, then the end":      {afterBody: strings.Repeat(oneMore, 20)},
+		"informational refusal":                  {afterBody: "HTTP/1.1 103 Early Hints\r\nAttempt-Id: a1\r\nNot-Executed: 1\r\n\r\n"},
+		"no seal":                                {afterBody: "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\n\r\n"},
+		"no seal, with a length":                 {afterBody: "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nContent-Length: 0\r\n\r\n", keepOpen: true},
+		"no seal nor content":                    {afterBody: "HTTP/1.1 204 No Content\r\nAttempt-Id: a1\r\n\r\n", keepOpen: true},
+		"an empty seal, in chunks":               {afterBody: "HTTP/1.1 201 Created\r\nAttempt-Id: a1\r\nServer-Seal:\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
+		"chunks, cut":                            {afterBody: responseHead("a1") + "Transfer-Encoding: chunked\r\n\r\n4\r\nansw\r\n"},
+		"chunks of HTTP/1.0, cut":                {afterBody: old(responseHead("a1")) + "Transfer-Encoding: chunked\r\n\r\n4\r\nansw\r\n"},
 	}
 	for _, at := range []string{"HTTP/1.1", "200 OK", "OK\r", "OK\r\n", "Attempt-", "Attempt-Id:", ": a1", "a1\r", "a1\r\n", "Server-Seal: se", "Content-Length", "Content-Length: 1"} {
 		cut := own[:strings.Index(own, at)+len(at)]
-		all[fmt.Sprintf("head cut after %q", at)] = bytesPlayed{late: cut}
-		all[fmt.Sprintf("head cut after %q and reset", at)] = bytesPlayed{late: cut, reset: true}
-		all[fmt.Sprintf("head cut after %q and kept", at)] = bytesPlayed{late: cut, kept: true}
-		all[fmt.Sprintf("head cut after %q, and an earlier refusal", at)] = bytesPlayed{late: cut + earlier}
-		all[fmt.Sprintf("head folded after %q and cut", at)] = bytesPlayed{late: cut + "\r\n "}
-		all[fmt.Sprintf("old head cut after %q", at)] = bytesPlayed{late: old(cut)}
+		all[fmt.Sprintf("head cut after %q", at)] = byteScript{afterBody: cut}
+		all[fmt.Sprintf("head cut after %q and reset", at)] = byteScript{afterBody: cut, reset: true}
+		all[fmt.Sprintf("head cut after %q and kept", at)] = byteScript{afterBody: cut, keepOpen: true}
+		all[fmt.Sprintf("head cut after %q, and an earlier refusal", at)] = byteScript{afterBody: cut + earlier}
+		all[fmt.Sprintf("head folded after %q and cut", at)] = byteScript{afterBody: cut + "\r\n "}
+		all[fmt.Sprintf("old head cut after %q", at)] = byteScript{afterBody: old(cut)}
 	}
 	return all
 }
@@ -170,36 +170,36 @@
 // not give. The caller gets the complete response or a failure, and the failure
 // promises that the request did not run only if no target ran it.
 func TestNoBytesOfATargetMakeAPromise(t *testing.T) {
-	for name, played := range playedBytes() {
+	for name, script := range byteScripts() {
 		for path, body := range map[string]string{"/once/": strings.Repeat("b", 3000), "/upload/": strings.Repeat("b", 300_000), "/safe/": ""} {
 			t.Run(name+path, func(t *testing.T) {
 				t.Parallel()
-				f := start(t)
-				raw := f.addRaw(t, "t0", played)
+				f := startFixture(t)
+				raw := f.addRaw(t, "t0", script)
 				f.addTarget(t, "t1", "")
 				for i := range f.view.Config.Routes {
-					f.view.Config.Routes[i].Timeout = patience
+					f.view.Config.Routes[i].Timeout = eventTimeout
 				}
 				method := http.MethodPost
 				if body == "" {
 					method = http.MethodGet
 				}
 				deadline := 800 * time.Millisecond
-				if played.answered {
-					deadline = patience
+				if script.responseExpected {
+					deadline = eventTimeout
 				}
-				assert.Equal(t, f.sendFirst(t, patience, method, path, "before", body).body, fencetarget.Body("t0", "before"))
+				assert.Equal(t, f.sendFirst(t, eventTimeout, method, path, "before", body).body, fencetarget.Body("t0", "before"))
 				got := f.sendFirst(t, deadline, method, path, "a1", body)
 				runs := int(raw.runs.Load()) + len(f.targets[1].Runs())
-				f.checkPromise(t, got, runs, path != "/safe/", played)
-				assert.Equal(t, f.sendFirst(t, patience, method, path, "then", body).body, fencetarget.Body("t0", "then"))
+				f.checkPromise(t, got, runs, path != "/safe/", script)
+				assert.Equal(t, f.sendFirst(t, eventTimeout, method, path, "then", body).body, fencetarget.Body("t0", "then"))
 			})
 		}
 	}
 }
 
 // sendFirst sends a request whose first permit is for t0.
-func (f *fixture) sendFirst(t *testing.T, deadline time.Duration, method, path, attempt, body string) got {
+func (f *fixture) sendFirst(t *testing.T, deadline time.Duration, method, path, attempt, body string) callerResponse {
 	f.mu.Lock()
 	f.next = 0
 	f.mu.Unlock()
@@ -208,7 +208,7 @@
 
 // checkPromise checks what the caller got for a request that ran the given number of
 // times; once is set for requests that are not idempotent.
-func (f *fixture) checkPromise(t *testing.T, got got, runs int, once bool, played bytesPlayed) {
+func (f *fixture) checkPromise(t *testing.T, got callerResponse, runs int, once bool, script byteScript) {
 	t.Helper()
 	if once {
 		assert.Assert(t, runs <= 1, "%d runs", runs)
@@ -221,7 +221,7 @@
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		assert.Assert(t, !once || runs == 0, "status %d for a request that ran %d times", got.status, runs)
 	}
-	if played.answered {
+	if script.responseExpected {
 		assert.Equal(t, got.status, http.StatusOK)
 		assert.Equal(t, got.body, fencetarget.Body("t0", "a1"))
 	}
@@ -232,18 +232,18 @@
 // requests on it: these count as not read.
 func TestNothingFollowsAnAnswerThatBreaksOff(t *testing.T) {
 	long := strings.Repeat("x", 200_000)
-	for name, played := range map[string]bytesPlayed{
-		"length":           {late: headOf("a1") + "Content-Length: 300000\r\n\r\n" + long},
-		"chunks":           {late: headOf("a1") + "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + long + "\r\n"},
-		"no length, reset": {late: headOf("a1") + "\r\n" + long, reset: true},
-		"without end":      {late: headOf("a1") + "\r\n", again: "more"},
-		"chunks, an earlier refusal": {late: headOf("a1") + "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + long + "\r\n" +
-			refusalOf("earlier")},
+	for name, script := range map[string]byteScript{
+		"length":           {afterBody: responseHead("a1") + "Content-Length: 300000\r\n\r\n" + long},
+		"chunks":           {afterBody: responseHead("a1") + "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + long + "\r\n"},
+		"no length, reset": {afterBody: responseHead("a1") + "\r\n" + long, reset: true},
+		"without end":      {afterBody: responseHead("a1") + "\r\n", repeated: "more"},
+		"chunks, an earlier refusal": {afterBody: responseHead("a1") + "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + long + "\r\n" +
+			refusalResponse("earlier")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := start(t)
-			f.addRaw(t, "t0", played)
+			f := startFixture(t)
+			f.addRaw(t, "t0", script)
 			conn, err := net.Dial("tcp", f.address)
 			assert.NilError(t, err)
 			defer conn.Close()
--- a/internal/request/forward/metrics.go
+++ b/internal/request/forward/metrics.go
@@ -17,15 +17,15 @@
 
 // metrics counts the responses that callers get.
 type metrics struct {
-	scope tally.Scope
-	left  tally.Counter
+	scope       tally.Scope
+	callersLeft tally.Counter
 }
 
 func newMetrics(scope tally.Scope) *metrics {
 	if scope == nil {
 		scope = tally.NoopScope
 	}
-	return &metrics{scope: scope, left: scope.Counter("callers_left")}
+	return &metrics{scope: scope, callersLeft: scope.Counter("callers_left")}
 }
 
 func (m *metrics) answered(route *fleet.Route, took time.Duration, status int) {
--- a/internal/request/forward/pools.go
+++ b/internal/request/forward/pools.go
@@ -14,9 +14,9 @@
 const (
 	// connectionsPerTarget limits the connections of this VM to one target.
 	connectionsPerTarget = 16
-	// closeStaleEvery is the interval at which idle connections are checked, well
+	// closeStaleInterval is the interval at which idle connections are checked, well
 	// within the time for which they can be used.
-	closeStaleEvery = 2 * time.Second
+	closeStaleInterval = 2 * time.Second
 )
 
 // Pools holds a pool of connections for each incarnation of a target.
@@ -25,18 +25,18 @@
 
 	mu    sync.Mutex
 	pools map[fleet.Life]*target.Pool
-	// idle holds, by service, how long idle connections can be used.
-	idle map[string]*target.IdleLimit
+	// idleLimits holds, by service, how long idleLimits connections can be used.
+	idleLimits map[string]*target.IdleLimit
 }
 
 // NewPools returns pools whose connections follow the form.
 func NewPools(form target.Form) *Pools {
-	return &Pools{form: form, pools: map[fleet.Life]*target.Pool{}, idle: map[string]*target.IdleLimit{}}
+	return &Pools{form: form, pools: map[fleet.Life]*target.Pool{}, idleLimits: map[string]*target.IdleLimit{}}
 }
 
 // Run closes idle connections that can no longer be used, until the context ends.
 func (p *Pools) Run(ctx context.Context) {
-	ticks := time.NewTicker(closeStaleEvery)
+	ticks := time.NewTicker(closeStaleInterval)
 	defer ticks.Stop()
 	for {
 		select {
@@ -67,11 +67,11 @@
 
 // formOf returns the form for the targets of a service. The lock must be held.
 func (p *Pools) formOf(service string) target.Form {
-	if p.idle[service] == nil {
-		p.idle[service] = &target.IdleLimit{}
+	if p.idleLimits[service] == nil {
+		p.idleLimits[service] = &target.IdleLimit{}
 	}
 	form := p.form
-	form.Idle = p.idle[service]
+	form.Idle = p.idleLimits[service]
 	return form
 }
 
