--- a/internal/process/observer/observer.go
+++ b/internal/process/observer/observer.go
@@ -25,8 +25,8 @@
 	// reappearTime is how long entries may take to reappear after a store outage. The
 	// platform documents about two seconds.
 	reappearTime = 2300 * time.Millisecond
-	// removedRetention is how long a removed target is remembered, so that its keys can be
-	// taken back from it.
+	// removedRetention is how long a removed target is remembered, so that its keys
+	// can be taken back from it.
 	removedRetention = 30 * time.Second
 )
 
@@ -135,8 +135,8 @@
 	clear(o.listed)
 }
 
-// watchPrefix runs one watch. Its callbacks are posted to the loop and dropped once the
-// watch has been stopped.
+// watchPrefix runs one watch. Its callbacks are posted to the loop and dropped once
+// the watch has been stopped.
 func (o *Observer) watchPrefix(ctx context.Context, prefix string, listed, changed func([]store.Object)) {
 	post := func(f func()) {
 		o.config.Loop.Post(func() {
@@ -154,8 +154,8 @@
 	})
 }
 
-// recordContact records the result of a call to the store. For a while after an outage,
-// missing entries may still reappear.
+// recordContact records the result of a call to the store. For a while after an
+// outage, missing entries may still reappear.
 func (o *Observer) recordContact(prefix string, err error) {
 	if err != nil {
 		events.WatchInterrupted.Log(o.config.Logger).Str("prefix", prefix).Err(err).Send()
@@ -245,8 +245,8 @@
 	}
 }
 
-// applyTarget applies one entry and returns its applyTarget; nil if the entry is invalid or
-// older than what is known.
+// applyTarget applies one entry and returns its target; nil if the entry is invalid
+// or older than what is known.
 func (o *Observer) applyTarget(object store.Object) *fleet.Target {
 	now := time.Now()
 	t, err := o.config.Names.DecodeTarget(object, now)
@@ -285,8 +285,8 @@
 	return fault.New(fault.Invalid, "the entry is ignored; correct its writer", "target %q belongs to service %q, but its entry names the undeclared service %q", t.ID, known.Service, t.Service)
 }
 
-// handleMissing handles the missing entry of a target: the target counts as removed, at once
-// or, around an outage, only if the entry does not reappear in time.
+// handleMissing handles the missing entry of a target. The target counts as removed,
+// during and after an outage only if the entry does not reappear in time.
 func (o *Observer) handleMissing(id string) {
 	if o.targets[id] == nil || !o.removedAt[id].IsZero() {
 		return
--- a/internal/request/forward/body.go
+++ b/internal/request/forward/body.go
@@ -18,8 +18,8 @@
 	empty  bool
 
 	mu sync.Mutex
-	// buffered holds the bytes read so far; dropped is set once they exceeded the limit
-	// and were discarded.
+	// buffered holds the bytes read so far; dropped is set once they exceeded the
+	// limit and were discarded.
 	buffered []byte
 	dropped  bool
 	// err is the error of the last read from the caller, io.EOF at the end.
@@ -40,8 +40,8 @@
 	return b
 }
 
-// continueWaiter is implemented by bodies whose caller may wait for 100 Continue before it
-// sends them.
+// continueWaiter is implemented by bodies whose caller may wait for 100 Continue
+// before it sends them.
 type continueWaiter interface{ Awaited() bool }
 
 // readAhead reads the body, as far as it can be kept, until the first attempt
@@ -83,8 +83,8 @@
 	return !b.dropped && (b.err == nil || b.err == io.EOF)
 }
 
-// newReader returns the body for the newReader attempt. Readers of earlier attempts fail from
-// then on.
+// newReader returns the body for the next attempt. Readers of earlier attempts fail
+// from then on.
 func (b *replayBody) newReader() io.ReadCloser {
 	if b.empty {
 		return http.NoBody
--- a/internal/request/forward/deliver.go
+++ b/internal/request/forward/deliver.go
@@ -79,7 +79,7 @@
 	x.recordDelivered(a)
 }
 
-// completeResult returns the completeResult that a complete response counts as.
+// completeResult returns the result that a complete response counts as.
 func (x *exchange) completeResult(a *response) admission.Result {
 	if a.Status >= http.StatusInternalServerError {
 		return admission.Failed
--- a/internal/request/forward/exchange.go
+++ b/internal/request/forward/exchange.go
@@ -102,8 +102,8 @@
 // target.
 const maxTries = 4
 
-// mayRetry reports whether another attempt is possible and allowed after the given
-// number of failed ones, counted from 0.
+// mayRetry reports whether another attempt is possible and allowed. tries is the number
+// of attempts before the one that has just failed.
 func (x *exchange) mayRetry(tries int) bool {
 	return x.attempts < x.route.MaxAttempts && tries+1 < maxTries && x.body.replayable() && x.ctx.Err() == nil
 }
@@ -141,8 +141,8 @@
 	return x.handleResponse(permit, got, took, cancel)
 }
 
-// handleResponse handles a target's response whose status and headers have arrived. It
-// reads the beginning of the body.
+// handleResponse handles a target's response whose status and headers have arrived.
+// It reads the beginning of the body.
 func (x *exchange) handleResponse(permit permits.Permit, got *target.Answer, took time.Duration, cancel context.CancelFunc) outcome {
 	dialect := x.handler.config.Dialect
 	load, hasLoad := dialect.Load(got.Header)
@@ -167,8 +167,8 @@
 	}}
 }
 
-// checkResponse returns an error if a response must not be passed on, and the result that the
-// attempt then counts as.
+// checkResponse returns an error if a response must not be passed on, and the result
+// that the attempt then counts as.
 func (x *exchange) checkResponse(got *target.Answer) (admission.Result, error) {
 	switch {
 	case x.route.Kind != fleet.Idempotent && promisesNotRun(got.Status):
@@ -241,8 +241,8 @@
 	return admission.Unreachable
 }
 
-// giveUpWaiting responds to a request whose deadline has passed, or whose caller has left,
-// while it waited for a permit.
+// giveUpWaiting responds to a request whose deadline has passed, or whose caller has
+// left, while it waited for a permit.
 func (x *exchange) giveUpWaiting(mayHaveRun bool, reason string) {
 	if x.r.Context().Err() != nil {
 		x.callerLeft()
@@ -255,7 +255,8 @@
 	x.refuse(reason, 0)
 }
 
-// respondMayHaveRun responds to a request that may have run, unless the caller has left.
+// respondMayHaveRun responds to a request that may have run, unless the caller has
+// left.
 func (x *exchange) respondMayHaveRun(o outcome) {
 	if x.r.Context().Err() != nil {
 		x.callerLeft()
@@ -277,7 +278,7 @@
 	x.refuse("attempts-used", 0)
 }
 
-// callerLeft records that the caller has callerLeft and aborts the handler.
+// callerLeft records that the caller has left and aborts the handler.
 func (x *exchange) callerLeft() {
 	x.handler.metrics.callersLeft.Inc(1)
 	x.log(events.CallerLeft).Send()
--- a/internal/request/forward/forward.go
+++ b/internal/request/forward/forward.go
@@ -25,14 +25,14 @@
 const (
 	// defaultDeadline is the time that a request has if its caller names no deadline.
 	defaultDeadline = 10 * time.Second
-	// largeBodyBytes is the size of a body in bytes above which a request is kept in this
-	// VM's failure domain if possible.
+	// largeBodyBytes is the size of a body in bytes above which a request is kept in
+	// this VM's failure domain if possible.
 	largeBodyBytes = 16 << 10
 	// keptBodyBytes is the size in bytes up to which the body of a request is kept for
 	// retries, and a response is held back until it is complete.
 	keptBodyBytes = 128 << 10
-	// unconfiguredRetryAfter is the retry delay suggested to callers while this VM lacks the
-	// configuration for their request.
+	// unconfiguredRetryAfter is the retry delay suggested to callers while this VM lacks
+	// the configuration for their request.
 	unconfiguredRetryAfter = 300 * time.Millisecond
 	// transitAllowance is subtracted from the remaining time that targets are told,
 	// to allow for transit.
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -29,8 +29,8 @@
 	"github.com/chestnutcourse/chestnutcourse/platform"
 )
 
-// eventTimeout limits the wait for what is expected to happen; no result depends on its
-// length.
+// eventTimeout limits the wait for what is expected to happen; no result depends on
+// its length.
 const eventTimeout = 10 * time.Second
 
 // fixture is a handler in front of some targets. It implements forward.Permits and
@@ -83,8 +83,8 @@
 	f.results = append(f.results, result)
 }
 
-// awaitPermitRequest waits for a request for a permit and returns its time, from which the
-// deadline is counted.
+// awaitPermitRequest waits for a request for a permit and returns its time, from which
+// the deadline is counted.
 func (f *fixture) awaitPermitRequest() time.Time {
 	for {
 		f.mu.Lock()
@@ -287,7 +287,8 @@
 	return overdue
 }
 
-// eventually waits for a condition and fails the test if late is closed before.
+// eventually waits for a condition and fails the test if overdue is closed
+// first.
 func eventually(t *testing.T, overdue <-chan struct{}, condition func() bool, message string) {
 	t.Helper()
 	for !condition() {
--- a/internal/request/forward/hostile_test.go
+++ b/internal/request/forward/hostile_test.go
@@ -95,8 +95,8 @@
 	return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attempt + "\r\nServer-Seal: " + fencetarget.Seal(attempt) + "\r\n"
 }
 
-// refusalResponse returns a response, with the body "full", that states that an attempt did
-// not run.
+// refusalResponse returns a response, with the body "full", that states that an
+// attempt did not run.
 func refusalResponse(attempt string) string {
 	return "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: " + attempt + "\r\nNot-Executed: 1\r\nContent-Length: 4\r\n\r\nfull"
 }
--- a/internal/request/forward/pools.go
+++ b/internal/request/forward/pools.go
@@ -25,7 +25,7 @@
 
 	mu    sync.Mutex
 	pools map[fleet.Life]*target.Pool
-	// idleLimits holds, by service, how long idleLimits connections can be used.
+	// idleLimits holds, by service, how long idle connections can be used.
 	idleLimits map[string]*target.IdleLimit
 }
 
--- a/internal/version/keyspace/balance.go
+++ b/internal/version/keyspace/balance.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// hotRatio is the utilisation, relative to the mean, from which an owner is
-	// relieved of keys.
+	// hotRatio is the ratio of an owner's utilisation to the mean from which the owner
+	// is relieved of keys.
 	hotRatio = 1.25
 	// idleUtilisation is the utilisation below which an owner is not relieved merely
 	// because others are utilised less.
 	idleUtilisation = 0.25
-	// maxMovesPerPlan limits the moves of one plan; a set of a hundred hot keys is spread
-	// by three plans.
+	// maxMovesPerPlan limits the moves of one plan, except those that reassign the keys
+	// of owners without capacity. A set of a hundred hot keys is spread by three plans.
 	maxMovesPerPlan = 40
 	// minSpeedup is the least ratio of the capacities of two owners at which a key that
 	// exceeds the capacity of the slower one is moved to the faster one. Estimated
@@ -117,9 +117,9 @@
 	return false
 }
 
-// smallestEnd returns the smallestEnd prefix or suffix of a piece that is worth a move,
-// whichever has less demand; false if it is below the minimum or above the given
-// demand.
+// smallestEnd returns the shortest prefix or suffix of a piece that is worth a move,
+// whichever has less demand; false if no end is worth a move or its demand is above
+// the given one.
 func (p *plan) smallestEnd(source piece, demand float64) (piece, bool) {
 	head := piece{first: source.first, last: source.first, demand: float64(p.load.keys[source.first])}
 	for head.demand < minMoveDemand && head.last < source.last {
--- a/internal/version/keyspace/load.go
+++ b/internal/version/keyspace/load.go
@@ -13,12 +13,12 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// demandHalfLife is the half-life of the demand of a key: short enough to follow a hot
-// key within a second, long enough to smooth out noise.
+// demandHalfLife is the half-life of the demand of a key: short enough to follow a
+// hot key within a second, long enough to smooth out noise.
 const demandHalfLife = 1500 * time.Millisecond
 
 // idleKeyDemand is the demand assumed for a key without requests, in seconds of work
-// per second, so that idle keys are divided among owners by their number.
+// per second, so that idle keys are divided among the owners by number.
 const idleKeyDemand = 1e-9
 
 // Load is the recent demand for each key of a service, in seconds of work
@@ -54,8 +54,8 @@
 	return float64(sum) + idleKeyDemand*float64(int(last)-int(first)+1)
 }
 
-// excessDemand returns the demand that single keys of a range have in excess of a limit,
-// summed over the range.
+// excessDemand returns the sum over a range of what the demand of each key exceeds
+// the limit by.
 func (l *Load) excessDemand(limit float64, first, last uint16) float64 {
 	sum := 0.0
 	for _, value := range l.keys[first : int(last)+1] {
--- a/internal/version/keyspace/plan.go
+++ b/internal/version/keyspace/plan.go
@@ -61,7 +61,7 @@
 }
 
 // Plan returns the moves that rebalance the keys. In this order, it reassigns the
-// keys of owners without capacity, relieves the busiest owners, and gives each key
+// keys whose owner is not in owners or has no capacity, relieves the busiest owners, and gives each key
 // whose demand exceeds its owner's capacity to the fastest owner. Slices that are
 // still moving are left to their present owner if that has capacity.
 func Plan(current []fleet.Slice, owners []Owner, load *Load) []Move {
@@ -81,8 +81,8 @@
 	pieces []piece
 	owners map[fleet.Life]*ownerState
 	moves  []Move
-	// meanUtilisation is the utilisation that all owners would have if demand were divided in
-	// proportion to capacity.
+	// meanUtilisation is the utilisation that all owners would have if demand were
+	// divided in proportion to capacity.
 	meanUtilisation float64
 	// emptyOwners is the number of owners without keys.
 	emptyOwners int
@@ -109,8 +109,8 @@
 	pieceCount int
 	// movable holds the indexes of the owner's pieces that are not fixed.
 	movable []int
-	// hottestIndex and coldestIndex are the owner's indexes in the rankings of these names;
-	// -1 if it is not ranked.
+	// hottestIndex and coldestIndex are the owner's indexes in the rankings hottest
+	// and coldest; -1 if it is not ranked.
 	hottestIndex, coldestIndex int
 }
 
@@ -174,8 +174,9 @@
 	}
 }
 
-// reassignOrphans reassigns the pieces of owners without capacity, the busiest first. A
-// piece with more demand than one owner should get is split.
+// reassignOrphans gives the pieces whose owner is lost or without capacity to other
+// owners, the busiest first. A piece with more demand than one owner should get is
+// split.
 func (p *plan) reassignOrphans() {
 	orphans := p.piecesByDemand(func(c *piece) bool { return p.owners[c.owner] == nil })
 	for _, i := range orphans {
@@ -243,8 +244,8 @@
 	return stop, sum
 }
 
-// addMove adds a addMove to the plan and updates both owners; from is nil if the keys had
-// no usable owner.
+// addMove adds a move to the plan and updates both owners. from is nil if the keys
+// had no usable owner.
 func (p *plan) addMove(first, last uint16, demand float64, from, to *ownerState) {
 	p.moves = append(p.moves, Move{First: first, Last: last, To: to.Life})
 	if to.pieceCount == 0 {
@@ -259,7 +260,7 @@
 	}
 }
 
-// updateRank updates the rank of an owner whose demand has updateRank.
+// updateRank updates the ranks of an owner whose demand has changed.
 func (p *plan) updateRank(o *ownerState) {
 	p.hottest.update(o)
 	p.coldest.update(o)
--- a/internal/version/keyspace/plan_test.go
+++ b/internal/version/keyspace/plan_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// peakUtilisation returns the highest peakUtilisation of an owner relative to the mean.
+// peakUtilisation returns the highest utilisation of an owner relative to the mean.
 func (w *cluster) peakUtilisation(list []keyspace.Owner, demand func(key int) float64) float64 {
 	total, highest := 0.0, 0.0
 	by := map[fleet.Life]float64{}
--- a/internal/version/keyspace/rank.go
+++ b/internal/version/keyspace/rank.go
@@ -9,15 +9,15 @@
 // add inserts an owner.
 func (r *ranking) add(s *ownerState) { heap.Push(&r.ownerHeap, s) }
 
-// update restores the order after the utilisation of an owner has update. An
-// owner that is not ranked is ignored.
+// update restores the order after an owner's utilisation has changed. An owner that
+// is not ranked is ignored.
 func (r *ranking) update(s *ownerState) {
 	if i := *r.index(s); i >= 0 {
 		heap.Fix(&r.ownerHeap, i)
 	}
 }
 
-// remove removes an owner.
+// remove takes an owner out of the ranking.
 func (r *ranking) remove(s *ownerState) { heap.Remove(&r.ownerHeap, *r.index(s)) }
 
 // first returns the first owner except the given one; nil if there is none.
@@ -36,7 +36,7 @@
 type ownerHeap struct {
 	owners []*ownerState
 	before func(a, b *ownerState) bool
-	// index returns where an owner's index in shares is kept; the index is -1 if the
+	// index returns where an owner's index in owners is kept; the index is -1 if the
 	// owner is not ranked.
 	index func(*ownerState) *int
 }
--- a/internal/version/keyspace/scale_test.go
+++ b/internal/version/keyspace/scale_test.go
@@ -21,8 +21,8 @@
 
 func idle(int) float64 { return 0 }
 
-// withJoinedOwners returns a world whose keys are divided among a fifth of the owners; the others
-// have withJoinedOwners since and have no keys.
+// withJoinedOwners returns a cluster whose keys are divided among a fifth of the
+// owners; the others have joined since and have no keys.
 func withJoinedOwners(list []keyspace.Owner) *cluster {
 	w := &cluster{}
 	w.apply(keyspace.Initial(list[:len(list)/5]))
--- a/internal/version/keyspace/tidy.go
+++ b/internal/version/keyspace/tidy.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// tidySlicesPerOwner is the number of slices per owner, on average, up to which nothing
+	// tidySlicesPerOwner is the average number of slices per owner up to which nothing
 	// is joined.
 	tidySlicesPerOwner = 2
 	// coldFraction is the fraction of its owner's capacity up to which the demand of a
-	// slice counts as cold. joinedShare is the fraction up to which adjacent slices
+	// slice counts as cold. joinedFraction is the fraction up to which adjacent slices
 	// of one owner are joined; it is higher since joining moves no keys.
 	coldFraction   = 0.1
 	joinedFraction = 0.5
-	// maxAbsorbedPerPlan limits the moves of one plan whose only purpose is to join slices.
+	// maxAbsorbedPerPlan limits the moves of one plan whose only purpose is to join
+	// slices.
 	maxAbsorbedPerPlan = 12
 )
 
