--- a/internal/request/forward/deliver.go
+++ b/internal/request/forward/deliver.go
@@ -60,28 +60,28 @@
 }
 
 // deliver passes a response on to the caller and gives the permit back.
-func (x *exchange) deliver(permit permits.Permit, a *response) {
-	defer a.cancel()
-	if a.complete {
-		x.endPermit(permit, a, x.completeResult(a))
+func (x *exchange) deliver(permit permits.Permit, resp *response) {
+	defer resp.cancel()
+	if resp.complete {
+		x.endPermit(permit, resp, x.completeResult(resp))
 	} else {
 		// The deadline frees the target even if the caller does not read.
-		defer context.AfterFunc(x.ctx, func() { x.endPermit(permit, a, x.cutResult()) })()
+		defer context.AfterFunc(x.ctx, func() { x.endPermit(permit, resp, x.cutResult()) })()
 	}
-	x.writeHeader(a)
-	if _, err := x.w.Write(a.prefix); err != nil {
-		x.abortDelivery(permit, a)
+	x.writeHeader(resp)
+	if _, err := x.w.Write(resp.prefix); err != nil {
+		x.abortDelivery(permit, resp)
 		return
 	}
-	if !a.complete {
-		x.stream(permit, a)
+	if !resp.complete {
+		x.stream(permit, resp)
 	}
-	x.recordDelivered(a)
+	x.recordDelivered(resp)
 }
 
 // completeResult returns the result that a complete response counts as.
-func (x *exchange) completeResult(a *response) admission.Result {
-	if a.Status >= http.StatusInternalServerError {
+func (x *exchange) completeResult(resp *response) admission.Result {
+	if resp.Status >= http.StatusInternalServerError {
 		return admission.Failed
 	}
 	return admission.Answered
@@ -96,29 +96,29 @@
 }
 
 // endPermit gives the permit of a response back. Further calls do nothing.
-func (x *exchange) endPermit(permit permits.Permit, a *response, result admission.Result) {
-	a.endOnce.Do(func() { x.handler.config.Permits.End(permit, result, a.took, a.load, a.hasLoad) })
+func (x *exchange) endPermit(permit permits.Permit, resp *response, result admission.Result) {
+	resp.endOnce.Do(func() { x.handler.config.Permits.End(permit, result, resp.took, resp.load, resp.hasLoad) })
 }
 
 // writeHeader writes the target's status and headers.
-func (x *exchange) writeHeader(a *response) {
+func (x *exchange) writeHeader(resp *response) {
 	header := x.w.Header()
 	connectionHeader := header.Get("Connection")
-	copyHeaders(header, a.Header)
+	copyHeaders(header, resp.Header)
 	if connectionHeader != "" {
 		header.Set("Connection", connectionHeader)
 	}
 	switch {
-	case a.complete && x.r.Method != http.MethodHead && bodyAllowed(a.Status):
-		header.Set("Content-Length", strconv.Itoa(len(a.prefix)))
-	case a.ContentLength >= 0:
-		header.Set("Content-Length", strconv.FormatInt(a.ContentLength, 10))
+	case resp.complete && x.r.Method != http.MethodHead && bodyAllowed(resp.Status):
+		header.Set("Content-Length", strconv.Itoa(len(resp.prefix)))
+	case resp.ContentLength >= 0:
+		header.Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
 	if _, ok := header["Content-Type"]; !ok {
 		// Keeps net/http from guessing one.
 		header["Content-Type"] = nil
 	}
-	x.w.WriteHeader(a.Status)
+	x.w.WriteHeader(resp.Status)
 }
 
 func bodyAllowed(status int) bool {
@@ -126,24 +126,24 @@
 }
 
 // stream passes the rest of a large response on as it arrives.
-func (x *exchange) stream(permit permits.Permit, a *response) {
+func (x *exchange) stream(permit permits.Permit, resp *response) {
 	controller := http.NewResponseController(x.w)
 	buffer := make([]byte, 32<<10)
 	for {
-		n, err := a.Body.Read(buffer)
+		n, err := resp.Body.Read(buffer)
 		if n > 0 {
 			if _, writeErr := x.w.Write(buffer[:n]); writeErr != nil {
-				x.abortDelivery(permit, a)
+				x.abortDelivery(permit, resp)
 				return
 			}
 			_ = controller.Flush()
 		}
 		if errors.Is(err, io.EOF) {
-			x.endPermit(permit, a, x.completeResult(a))
+			x.endPermit(permit, resp, x.completeResult(resp))
 			return
 		}
 		if err != nil {
-			x.endPermit(permit, a, x.cutResult())
+			x.endPermit(permit, resp, x.cutResult())
 			x.handler.metrics.failed("answer-cut")
 			x.log(events.ResponseCut).Err(err).Send()
 			// The caller must see a broken transfer, not a complete shorter response.
@@ -153,18 +153,18 @@
 }
 
 // abortDelivery ends an exchange whose response could not be written to the caller.
-func (x *exchange) abortDelivery(permit permits.Permit, a *response) {
-	_ = a.Body.Close()
-	if !a.complete {
-		x.endPermit(permit, a, admission.Canceled)
+func (x *exchange) abortDelivery(permit permits.Permit, resp *response) {
+	_ = resp.Body.Close()
+	if !resp.complete {
+		x.endPermit(permit, resp, admission.Canceled)
 	}
 	x.callerLeft()
 }
 
 // recordDelivered counts and logs a response that has been passed on.
-func (x *exchange) recordDelivered(a *response) {
-	x.handler.metrics.answered(x.route, time.Since(x.began), a.Status)
-	x.log(events.RequestAnswered).Int("status", a.Status).Dur("service_time", a.took).Send()
+func (x *exchange) recordDelivered(resp *response) {
+	x.handler.metrics.answered(x.route, time.Since(x.began), resp.Status)
+	x.log(events.RequestAnswered).Int("status", resp.Status).Dur("service_time", resp.took).Send()
 }
 
 // readUpTo reads at most limit bytes. The error is io.EOF if it reached the end of the
