--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -339,7 +339,7 @@
 	default:
 		t.Fatalf("status %d, %v", status, err)
 	}
-	eventually(t, overdue, func() bool { return f.inFlight() == 0 && f.pools.Open() == 0 }, "the connection is still held half a second after the deadline")
+	eventually(t, overdue, func() bool { return f.inFlight() == 0 && f.pools.Open() == 0 }, "the request or its connection is still open half a second after the deadline")
 	want := admission.Broken
 	if status == http.StatusGatewayTimeout {
 		want = admission.Timeout
--- a/internal/request/forward/hostile_test.go
+++ b/internal/request/forward/hostile_test.go
@@ -33,8 +33,8 @@
 	responseExpected bool
 }
 
-// rawTarget plays bytes for requests whose id begins with "a". It responds to all
-// others as a target without faults does.
+// rawTarget follows its script for requests whose id begins with "a". It responds to
+// all others as a target without faults does.
 type rawTarget struct {
 	script byteScript
 	runs   atomic.Int64
--- a/internal/version/keyspace/plan.go
+++ b/internal/version/keyspace/plan.go
@@ -61,9 +61,9 @@
 }
 
 // Plan returns the moves that rebalance the keys. In this order, it reassigns the
-// keys whose owner is not in owners or has no capacity, relieves the busiest owners, and gives each key
-// whose demand exceeds its owner's capacity to the fastest owner. Slices that are
-// still moving are left to their present owner if that has capacity.
+// keys whose owner is not in owners or has no capacity, relieves the busiest owners,
+// and gives each key whose demand exceeds its owner's capacity to the fastest owner.
+// Slices that are still moving are left to their present owner if that has capacity.
 func Plan(current []fleet.Slice, owners []Owner, load *Load) []Move {
 	p := newPlan(current, owners, load)
 	if len(p.owners) == 0 {
