--- a/internal/connection/target/connection.go
+++ b/internal/connection/target/connection.go
@@ -15,33 +15,33 @@
 )
 
 // connection is one HTTP/1.1 connection to a target. It carries one exchange
-// at a time and is closed, never reused, after any irregularity.
+// at a time. After any protocol error or failure it is closed and never reused.
 type connection struct {
 	socket *countingSocket
 	source *boundedReader
 	reader *bufio.Reader
-	// incarnation is the target's incarnation as last answered on this
-	// connection. A connection never outlives the process that accepted it, so
-	// the value holds for as long as the connection works.
+	// incarnation is the target's incarnation from the last answer on this
+	// connection that carried one. A connection never outlives the process that
+	// accepted it, so the value is valid for as long as the connection works.
 	incarnation string
 	idleSince   time.Time
-	// idle is how long the connection was idle before its present use; 0 for a
-	// new one.
+	// idle is how long the connection was idle before its current use; 0 for a
+	// new connection.
 	idle      time.Duration
 	closeOnce sync.Once
 	onClose   func()
 }
 
-// maxHead bounds the head of an answer with the informational ones before it, in
-// bytes. Common proxies take 8 to 64 KiB.
+// maxHead limits the head of an answer, including preceding informational (1xx)
+// heads, in bytes. Common proxies accept 8 to 64 KiB.
 const maxHead = 64 << 10
 
 var (
-	errLongHead   = errors.New("the head of the answer does not end")
-	errLongAnswer = errors.New("the target sent more than its answer")
+	errLongHead   = errors.New("the head of the answer is too long")
+	errLongAnswer = errors.New("the target sent bytes after the end of its answer")
 )
 
-// boundedReader fails after a number of bytes.
+// boundedReader returns an error once it has returned a number of bytes.
 type boundedReader struct {
 	source io.Reader
 	left   int64
@@ -57,15 +57,16 @@
 	return n, err
 }
 
-// countingSocket counts the bytes that the kernel has accepted for sending. One
-// goroutine at a time writes to it.
+// countingSocket counts the bytes that the kernel has accepted for sending. Only
+// one goroutine may write to it at a time.
 type countingSocket struct {
 	net.Conn
 	accepted int64
+	// writeErr is the last error of a write to the socket.
 	writeErr error
 }
 
-// Write passes bytes to the kernel and counts those that it accepted.
+// Write passes p to the kernel and counts the bytes that it accepted.
 func (s *countingSocket) Write(p []byte) (int, error) {
 	n, err := s.Conn.Write(p)
 	s.accepted += int64(n)
@@ -75,24 +76,25 @@
 	return n, err
 }
 
-// reset closes the socket and drops what the kernel has not delivered yet. An
-// orderly close would go on delivering it: a request that was given up would
-// reach its target through a healed partition seconds later.
+// reset closes the socket and discards the data that the kernel has not delivered
+// yet. After an orderly close the kernel would keep retransmitting it, so that an
+// abandoned request could reach the target seconds later, once a network partition
+// heals.
 func (s *countingSocket) reset() {
 	s.dropUndelivered()
 	_ = s.Close()
 }
 
-// dropUndelivered lets the kernel deliver nothing more once the socket is closed, also
-// by the end of this process.
+// dropUndelivered makes the kernel discard undelivered data when the socket is
+// closed, including when it is closed because this process ends.
 func (s *countingSocket) dropUndelivered() {
 	if tcp, ok := s.Conn.(*net.TCPConn); ok {
-		// It fails only on a socket that is closed already.
+		// SetLinger fails only on a socket that is already closed.
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// dial opens a connection.
+// dial opens a TCP connection to address.
 func dial(ctx context.Context, address string, timeout time.Duration) (*connection, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	socket, err := dialer.DialContext(ctx, "tcp", address)
@@ -103,7 +105,7 @@
 	return &connection{socket: &countingSocket{Conn: socket}, source: source, reader: bufio.NewReader(source)}, nil
 }
 
-// close closes the socket; it may be called from any goroutine, repeatedly.
+// close closes the socket. It may be called repeatedly and from any goroutine.
 func (c *connection) close() {
 	c.closeOnce.Do(func() {
 		_ = c.socket.Close()
@@ -113,8 +115,8 @@
 	})
 }
 
-// quiet reports whether an idle connection is open with nothing to read. Bytes
-// on an idle connection belong to a late or doubled answer.
+// quiet reports whether a connection between exchanges is open and has nothing to
+// read. Bytes on such a connection belong to a delayed or duplicated answer.
 func (c *connection) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -137,9 +139,9 @@
 	return err == nil && quiet
 }
 
-// probe asks for the target's health on this connection, to learn which
-// incarnation accepted it. A target without a health endpoint leaves the
-// incarnation empty.
+// probe sends a health check on this connection to learn which incarnation of the
+// target accepted it. The incarnation stays empty if the target has no health
+// endpoint.
 func (c *connection) probe(ctx context.Context, address string) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.socket.Close() })
 	defer stop()
--- a/internal/connection/target/control.go
+++ b/internal/connection/target/control.go
@@ -18,33 +18,34 @@
 )
 
 const (
-	// ControlConnections is the number of control connections per target. A
-	// second one lets a renewal pass a health check that hangs.
+	// ControlConnections is the maximum number of control connections per target.
+	// With a second one, a health check that hangs does not block a renewal.
 	ControlConnections = 2
-	// controlIdleTimeout closes control connections that renewals no longer use.
+	// controlIdleTimeout is how long an unused control connection stays open.
 	controlIdleTimeout = 30 * time.Second
-	// controlDialTimeout bounds the opening of a control connection.
+	// controlDialTimeout limits the time to open a control connection.
 	controlDialTimeout = 500 * time.Millisecond
-	// maxControlReply is the largest reply to a control request in bytes.
+	// maxControlReply limits the body of the reply to a control request, in bytes.
 	maxControlReply = 1 << 20
 )
 
-// ControlClient is the Controller over HTTP. It has connections of its own, so
-// that requests in progress never delay a grant.
+// ControlClient implements Controller over HTTP. Its connections are separate from
+// those for requests, so that in-flight requests never delay a grant.
 type ControlClient struct {
 	mu      sync.Mutex
 	targets map[string]*controlled
 }
 
-// controlled is what the client keeps for one address.
+// controlled is the client's state for one target address.
 type controlled struct {
-	// turns bounds the calls under way, and with them the connections.
+	// turns is a semaphore that limits the in-flight calls, and with them the
+	// connections.
 	turns     chan struct{}
 	transport *http.Transport
 	usedAt    time.Time
 }
 
-// NewControlClient returns a client; Close releases its connections.
+// NewControlClient returns a client. Close closes its connections.
 func NewControlClient() *ControlClient {
 	return &ControlClient{targets: map[string]*controlled{}}
 }
@@ -68,14 +69,17 @@
 	}
 }
 
-// to returns what is kept for an address, and forgets addresses without calls.
+// to returns the state for an address, creating it if needed. Creating one also
+// removes the state of addresses that have not been called for twice the idle
+// timeout.
 func (c *ControlClient) to(address string) *controlled {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	t := c.targets[address]
 	if t == nil {
-		// Their connections have been closed as idle.
+		// The connections of the removed entries have already been closed by the
+		// idle timeout.
 		maps.DeleteFunc(c.targets, func(_ string, t *controlled) bool {
 			return len(t.turns) == 0 && now.Sub(t.usedAt) > 2*controlIdleTimeout
 		})
@@ -86,26 +90,27 @@
 	return t
 }
 
-// Grant gives or renews the slices of a target.
+// Grant grants slices to a target or renews its grant.
 func (c *ControlClient) Grant(ctx context.Context, address string, grant Grant) (GrantReply, error) {
 	var reply GrantReply
 	err := c.call(ctx, http.MethodPost, address, PathGrant, grant, &reply)
 	return reply, err
 }
 
-// Revoke takes slices away; it returns nil once the target has confirmed.
+// Revoke revokes slices. It returns nil only after the target has confirmed.
 func (c *ControlClient) Revoke(ctx context.Context, address string, revocation Revocation) error {
 	return c.call(ctx, http.MethodPost, address, PathRevoke, revocation, nil)
 }
 
-// Health asks a target about itself.
+// Health requests the target's health.
 func (c *ControlClient) Health(ctx context.Context, address string) (Health, error) {
 	var health Health
 	err := c.call(ctx, http.MethodGet, address, PathHealth, nil, &health)
 	return health, err
 }
 
-// call sends one control request and decodes the reply into reply, unless nil.
+// call sends one control request and decodes the JSON response into reply, unless
+// reply is nil.
 func (c *ControlClient) call(ctx context.Context, method, address, path string, message, reply any) error {
 	request, err := newControlRequest(ctx, method, address, path, message)
 	if err != nil {
@@ -120,9 +125,9 @@
 	}
 	transport := t.transport
 	if path == PathRevoke {
-		// Answers bear no id: an earlier one that is written again must not pass for
-		// the end of the grant, so a revocation uses a connection once. The idle ones
-		// make room for it.
+		// Control replies carry no request ID, so a duplicate of an earlier reply could
+		// be mistaken for the confirmation of this revocation. Each revocation therefore
+		// uses a new connection. Idle ones are closed first, to stay within the limit.
 		transport.CloseIdleConnections()
 		transport = newControlTransport()
 		transport.DisableKeepAlives = true
@@ -155,7 +160,7 @@
 	if message != nil {
 		encoded, err := json.Marshal(message)
 		if err != nil {
-			return nil, fault.Wrap(err, fault.Invalid, "report this as a defect", "message for %s cannot be encoded", path)
+			return nil, fault.Wrap(err, fault.Invalid, "report this as a defect", "body of the control request to %s cannot be encoded", path)
 		}
 		body = bytes.NewReader(encoded)
 	}
@@ -167,8 +172,8 @@
 	return request, nil
 }
 
-// callError classifies a call without an answer: only a refused connection
-// proves that nothing runs at the address.
+// callError classifies the error of a call that got no answer. Only a refused
+// connection proves that no process listens at the address.
 func callError(cause error, address string) error {
 	if errors.Is(cause, syscall.ECONNREFUSED) {
 		return fault.Wrap(cause, fault.Unavailable, "start the target or remove it from the manifest", "target %s refused the connection", address)
--- a/internal/connection/target/exchange.go
+++ b/internal/connection/target/exchange.go
@@ -15,71 +15,73 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// Answer is a target's answer. Its head is complete and carries the request's
-// identity; Body ends with io.EOF only if it is complete.
+// Answer is a target's answer to a request. Its head is complete and carries the
+// ID of the request. Body returns io.EOF only at the end of a complete body.
 type Answer struct {
 	Status int
 	Header http.Header
 	// ContentLength is -1 for a chunked body.
 	ContentLength int64
 	Body          io.ReadCloser
-	// Incarnation is the incarnation that the answer names, or "".
+	// Incarnation is the target's incarnation as given in the answer, or "".
 	Incarnation string
 }
 
-// Defect says what was wrong with an exchange that brought no answer.
+// Defect classifies the failure of an exchange that brought no answer.
 type Defect uint8
 
 const (
-	// Broken: the connection failed or the context ended.
+	// Broken means that the connection failed or the context ended.
 	Broken Defect = iota + 1
-	// Crossed: the answer was for another request.
+	// Crossed means that the answer was for another request.
 	Crossed
-	// Malformed: the answer was not HTTP or had no definite length.
+	// Malformed means that the target switched protocols, or that the answer had
+	// neither a length nor chunked encoding.
 	Malformed
-	// BodyFailed: the request's body could not be read to its end.
+	// BodyFailed means that the request's body could not be read to its end.
 	BodyFailed
 )
 
-// ExchangeError tells why an exchange brought no answer.
+// ExchangeError is the error of an exchange that brought no answer.
 type ExchangeError struct {
 	Defect Defect
-	// Handed reports whether the kernel accepted any byte of the request. If
-	// false, the target certainly did not run it.
+	// Handed is true if the kernel accepted, or may have accepted, any byte of the
+	// request. If it is false, the target did not run the request.
 	Handed bool
 	Cause  error
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *ExchangeError) Error() string {
 	if !e.Handed {
 		return "request was not sent to the target: " + e.Cause.Error()
 	}
-	return "request was sent and its answer lost: " + e.Cause.Error()
+	return "request was sent but its answer was not received: " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *ExchangeError) Unwrap() error { return e.Cause }
 
 const (
-	// maxStray bounds the stray answers that are read past before one's own.
+	// maxStray limits how many stray answers are skipped before the answer to the
+	// request.
 	maxStray = 3
-	// maxStrayBody bounds the body of a stray answer that is read past, in bytes.
-	// More than the largest answers that are held back costs more time than the
-	// request is worth.
+	// maxStrayBody limits the body of a stray answer that is skipped, in bytes.
+	// Skipping a body beyond the size of the largest answers that are held back takes
+	// more time than the request is worth.
 	maxStrayBody = 1 << 20
 )
 
 var (
-	errIncompleteAnswer = errors.New("answer has no definite length")
-	errCrossedAnswer    = errors.New("answer names another request")
+	errIncompleteAnswer = errors.New("answer has neither a length nor chunked encoding")
+	errCrossedAnswer    = errors.New("answer is for another request")
 	errUnexpectedSwitch = errors.New("target switched protocols")
 )
 
-// Do sends the request and returns the head of the answer. The end of the
-// context resets the connection at any point, also while the body is read. An
-// error is always an *ExchangeError. streamed says that the request's body may
-// be slow, so that the answer is awaited while it is sent.
+// Do sends the request and returns the answer as soon as its head has been read.
+// When the context ends the connection is reset, even while the body is being read.
+// The error is always an *ExchangeError. If streamed is true, the request's body may
+// be slow: the answer is then read while the request is still being sent.
 func (e *Exchange) Do(ctx context.Context, request *http.Request, streamed bool) (*Answer, error) {
 	c := e.connection
 	c.socket.accepted = 0
@@ -93,7 +95,8 @@
 	return answer, nil
 }
 
-// exchangeRun is the state of one exchange until the end of its answer.
+// exchangeRun is the state of one exchange, from the request to the end of the
+// answer's body.
 type exchangeRun struct {
 	pool       *Pool
 	connection *connection
@@ -104,7 +107,7 @@
 	finishOnce sync.Once
 }
 
-// perform writes the request and reads the head of the answer.
+// perform sends the request and reads the head of the answer.
 func (r *exchangeRun) perform(request *http.Request, streamed bool) (*Answer, error) {
 	r.sender = startSender(r.connection.socket, request, streamed)
 	if failure := r.sender.unsent(); failure != nil {
@@ -130,10 +133,10 @@
 	}, nil
 }
 
-// readOwnHead reads the head of the answer, past stray answers to other
-// requests where the form allows them. Whether one before the answer to a HEAD
-// request has a body is unknown, and the reader of one of HTTP/1.0 takes more than
-// its body, so these are not read past.
+// readOwnHead reads the head of the answer. Stray answers to other requests that
+// precede it are skipped if SkipStray is set, except in two cases: if this is a HEAD
+// request, it is unknown whether a stray answer has a body; and an HTTP/1.0 answer is
+// parsed through a buffer that reads beyond its body.
 func (r *exchangeRun) readOwnHead(request *http.Request) (*http.Response, error) {
 	for skipped := 0; ; skipped++ {
 		response, err := readHead(r.connection, request)
@@ -156,7 +159,7 @@
 	}
 }
 
-// owns reports whether an answer names this request and no other.
+// owns reports whether an answer carries the ID of this request and of no other.
 func (r *exchangeRun) owns(response *http.Response) bool {
 	ids := response.Header.Values(r.pool.form.RequestIDHeader)
 	if len(ids) == 0 {
@@ -165,7 +168,8 @@
 	return !slices.ContainsFunc(ids, func(id string) bool { return id != r.requestID })
 }
 
-// check accepts only an answer to this request with a definite length.
+// check returns an error unless the answer is for this request and, if required,
+// its end does not depend on the end of the connection.
 func (r *exchangeRun) check(response *http.Response) (Defect, error) {
 	if response.StatusCode == http.StatusSwitchingProtocols {
 		return Malformed, errUnexpectedSwitch
@@ -179,8 +183,8 @@
 	return 0, nil
 }
 
-// complete ends the exchange after the last byte of the answer. The connection
-// is reused only if the request was sent in full and nothing follows the answer.
+// complete ends the exchange after the last byte of the answer. The connection is
+// reused only if the request was sent in full and no bytes follow the answer.
 func (r *exchangeRun) complete(response *http.Response) {
 	r.finishOnce.Do(func() {
 		canceled := !r.stop()
@@ -192,7 +196,8 @@
 	})
 }
 
-// abandon closes the connection; what was not delivered yet is taken back.
+// abandon resets the connection, which discards the part of the request that has
+// not been delivered yet.
 func (r *exchangeRun) abandon() {
 	r.finishOnce.Do(func() {
 		r.stop()
@@ -201,13 +206,14 @@
 	})
 }
 
-// answerBody is the body of an answer; the exchange ends with it.
+// answerBody is the body of an answer. The exchange ends when the body has been read
+// to its end, fails or is closed.
 type answerBody struct {
 	run      *exchangeRun
 	response *http.Response
 }
 
-// Read returns io.EOF only at the complete end of the body.
+// Read implements io.Reader. It returns io.EOF only at the end of a complete body.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.response.Body.Read(p)
 	switch {
@@ -218,17 +224,18 @@
 		return n, io.EOF
 	}
 	b.run.abandon()
-	return n, fault.Wrap(err, fault.UnknownOutcome, "discard what was received; the request ran", "the target's answer broke off")
+	return n, fault.Wrap(err, fault.UnknownOutcome, "discard what was received; the request ran", "the target's answer is incomplete")
 }
 
-// Close ends the exchange. A body that was not read to its end takes the
-// connection with it.
+// Close ends the exchange. If the body has not been read to its end, the connection
+// is reset.
 func (b *answerBody) Close() error {
 	b.run.abandon()
 	return nil
 }
 
-// readHead reads the head of the final answer, past informational ones.
+// readHead reads the head of the next final answer and skips informational (1xx)
+// answers before it.
 func readHead(c *connection, request *http.Request) (*http.Response, error) {
 	c.source.left = maxHead
 	defer func() { c.source.left = math.MaxInt64 }()
@@ -247,7 +254,8 @@
 	}
 }
 
-// hasLength reports whether the end of the answer can be told from a break.
+// hasLength reports whether a complete answer can be told from one that is cut off by
+// the end of its connection.
 func hasLength(response *http.Response, method string) bool {
 	if response.ContentLength >= 0 || method == http.MethodHead {
 		return true
@@ -256,7 +264,8 @@
 	return len(encodings) > 0 && encodings[len(encodings)-1] == "chunked"
 }
 
-// discard reads a body to its end; one above the limit in bytes is an error.
+// discard reads a body to its end. It returns an error if the body is longer than
+// limit bytes.
 func discard(body io.Reader, limit int64) error {
 	read, err := io.Copy(io.Discard, io.LimitReader(body, limit+1))
 	if err == nil && read > limit {
--- a/internal/connection/target/form.go
+++ b/internal/connection/target/form.go
@@ -2,26 +2,32 @@
 
 import "time"
 
-// Form is how targets are spoken to, where that differs between deployments.
+// Form holds the settings of a Pool: how its targets speak HTTP and the timeouts of
+// its connections.
 type Form struct {
-	// RequestIDHeader identifies a request; the target repeats it in its answer.
+	// RequestIDHeader is the name of the header with the request's ID. The target
+	// repeats the header in its answer.
 	RequestIDHeader string
-	// Probe asks each new connection for the target's incarnation. Targets that
-	// check the identity in each request need no probe.
+	// Probe sends a health check on each new connection to learn the target's
+	// incarnation. Targets that check in each request whether it is meant for them
+	// need no probe.
 	Probe bool
-	// Unframed accepts answers that end with their connection.
+	// Unframed accepts answers whose body ends with the connection, for lack of a
+	// length and of chunked encoding.
 	Unframed bool
-	// SkipStray reads past answers to other requests, e.g. doubled ones.
+	// SkipStray skips answers to other requests, e.g. duplicates of earlier answers.
 	SkipStray bool
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection, including its probe.
 	DialTimeout time.Duration
-	// MaxIdle closes an idle connection before a target is likely to do so.
+	// MaxIdle is how long a connection may be idle before it is closed. It should be
+	// shorter than the idle timeout of the targets.
 	MaxIdle time.Duration
-	// Idle, if set, is the limit learnt for all targets that share it.
+	// Idle, if not nil, is a learned limit on the idle time. Pools whose targets behave
+	// alike share it.
 	Idle *IdleLimit
 }
 
-// OwnForm is the form of docs/TARGETS.md.
+// OwnForm holds the settings for targets that implement docs/TARGETS.md.
 var OwnForm = Form{
 	RequestIDHeader: HeaderRequestID, Probe: true, DialTimeout: dialTimeout, MaxIdle: maxIdle,
 }
--- a/internal/connection/target/head.go
+++ b/internal/connection/target/head.go
@@ -12,21 +12,21 @@
 	"github.com/juju/errors"
 )
 
-// maxStatus is the highest status code (RFC 9110, 15).
+// maxStatus is the highest valid status code (RFC 9110, section 15).
 const maxStatus = 599
 
-// statusLine is the beginning of an answer.
+// statusLine matches the beginning of a status line.
 var statusLine = regexp.MustCompile(`HTTP/[0-9]\.[0-9] [0-9]{3}( |$)`)
 
 var (
-	errNoVersion   = errors.New("the answer is not of HTTP/1")
+	errNoVersion   = errors.New("the answer is not HTTP/1")
 	errNoStatus    = errors.New("the status of the answer is outside 100 to 599")
-	errNoName      = errors.New("the answer has a header with a space in its name")
-	errTwoHeads    = errors.New("the head of the answer holds the beginning of another")
-	errOldEncoding = errors.New("an answer of HTTP/1.0 has a transfer encoding")
+	errNoName      = errors.New("the answer has a header name that contains a space")
+	errTwoHeads    = errors.New("the head of the answer contains the beginning of another answer")
+	errOldEncoding = errors.New("an HTTP/1.0 answer has a transfer encoding")
 )
 
-// checkHead rejects heads that net/http reads and that are none.
+// checkHead rejects invalid heads that net/http accepts.
 func checkHead(response *http.Response) error {
 	if response.ProtoMajor != 1 {
 		return errNoVersion
@@ -36,7 +36,8 @@
 	}
 	for name := range response.Header {
 		if strings.Contains(name, " ") {
-			// One that frames the body would have been passed over.
+			// net/http would not have recognized a Content-Length or Transfer-Encoding
+			// header of this form, so the end of the body is not known.
 			return errNoName
 		}
 	}
@@ -46,8 +47,9 @@
 	return nil
 }
 
-// oneHead reports whether a head is that of one answer. One that was cut, with
-// another behind it, reads as a single head with the status of the first.
+// oneHead reports whether a head belongs to a single answer. If a head is cut off and
+// another answer follows, net/http parses both as one head with the status of the
+// first.
 func oneHead(response *http.Response) bool {
 	if beginsAnswer(response.Status) {
 		return false
@@ -65,21 +67,23 @@
 	return true
 }
 
-// beginsAnswer reports whether a text holds a status line.
+// beginsAnswer reports whether text contains the beginning of a status line.
 func beginsAnswer(text string) bool {
 	return strings.Contains(text, "HTTP/") && statusLine.MatchString(text)
 }
 
 const (
-	// oldVersion begins the answers of HTTP/1.0.
+	// oldVersion is what HTTP/1.0 answers begin with.
 	oldVersion = "HTTP/1.0"
-	// encodingHeader begins the line of the header that net/http drops from them.
+	// encodingHeader is the beginning of the header line that net/http ignores in
+	// HTTP/1.0 answers.
 	encodingHeader = "Transfer-Encoding:"
 )
 
-// readResponse reads one head. net/http takes the body of an HTTP/1.0 answer to
-// last until the connection closes, even one in chunks, which would look whole
-// wherever it is cut (RFC 9112, 6.1).
+// readResponse reads one head. It rejects HTTP/1.0 answers with a Transfer-Encoding
+// header (RFC 9112, section 6.1): net/http ignores the header and reads the body until
+// the connection closes, so that a chunked body would seem complete wherever it is cut
+// off.
 func (c *connection) readResponse(request *http.Request) (*http.Response, error) {
 	begin, err := c.reader.Peek(len(oldVersion))
 	if err != nil {
@@ -102,14 +106,15 @@
 	}
 	response, err := http.ReadResponse(bufio.NewReader(io.MultiReader(&head, c.reader)), request)
 	if err == nil {
-		// The new reader holds what follows.
+		// The new reader may have buffered bytes that follow the answer, so the
+		// connection cannot be reused.
 		response.Close = true
 	}
 	return response, err
 }
 
-// cutHead keeps the end of a connection inside a head from looking like an end in
-// order.
+// cutHead converts io.EOF to io.ErrUnexpectedEOF, because a connection that ends
+// within a head is a failure.
 func cutHead(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/internal/connection/target/idle.go
+++ b/internal/connection/target/idle.go
@@ -6,32 +6,37 @@
 )
 
 const (
-	// dropsToLearn is the number of dropped connections within dropWindow that
-	// show that targets forget idle connections; a single one may be a target
-	// that has ended.
+	// dropsToLearn is the number of dropped connections within dropWindow after
+	// which targets are assumed to drop idle connections. A single one may come from
+	// a target that has stopped.
 	dropsToLearn = 2
 	dropWindow   = 2 * time.Second
-	// learntFor is how long a learnt limit counts after the last drop.
+	// learntFor is how long a learned limit stays in force after the last drop.
 	learntFor = 10 * time.Second
-	// safeShare is the share of the shortest idle time of a dropped connection
-	// up to which others are used.
+	// safeShare is the learned limit as a share of the shortest idle time after which
+	// a connection was found dropped.
 	safeShare = 0.5
-	// shortestIdle is the idle time below which a loss has another reason.
+	// shortestIdle is the smallest limit that is learned. Drops after a shorter idle
+	// time have another cause and are ignored.
 	shortestIdle = 20 * time.Millisecond
 )
 
-// IdleLimit is how long the idle connections to some targets can be used. It is
-// learnt from connections that a target had dropped without notice: the request
-// that is sent on one is reset, and one that is not idempotent is lost.
+// IdleLimit limits how long a connection may be idle before its next use. The limit is
+// learned from connections that targets have dropped without closing them: a request
+// sent on such a connection is answered by a reset, and cannot be retried if it is not
+// idempotent. The zero value has no limit yet; a nil *IdleLimit never has one.
 type IdleLimit struct {
 	mu    sync.Mutex
 	limit time.Duration
+	// until is when the limit expires.
 	until time.Time
+	// drops counts the drops in the window that begins at first.
 	drops int
 	first time.Time
 }
 
-// dropped notes that a connection was reset at its first use after an idle time.
+// dropped records that a connection was reset at its first use after being idle for
+// the given time.
 func (l *IdleLimit) dropped(idle time.Duration, now time.Time) {
 	if l == nil || idle < shortestIdle {
 		return
@@ -52,7 +57,7 @@
 	}
 }
 
-// allows reports whether a connection may be used after an idle time.
+// allows reports whether a connection that was idle for the given time may be used.
 func (l *IdleLimit) allows(idle time.Duration, now time.Time) bool {
 	if l == nil {
 		return true
--- a/internal/connection/target/lanes.go
+++ b/internal/connection/target/lanes.go
@@ -14,54 +14,63 @@
 )
 
 const (
-	// maxLanes bounds the connections for grants to one target: an order without an
-	// answer blocks its connection until it is given up.
+	// maxLanes limits the connections for grants to one target. More than one is needed
+	// because an unanswered grant blocks its connection until it times out.
 	maxLanes = 4
-	// laneIdle closes an unused connection; targets close theirs after 10 s.
+	// laneIdle is how long an unused connection stays open. Targets close idle
+	// connections after 10 s.
 	laneIdle = 8 * time.Second
-	// maxOrderReply bounds the answer to an order in bytes.
+	// maxOrderReply limits the body of the answer to an order, in bytes.
 	maxOrderReply = 64 << 10
 )
 
-// ErrProcessUnknown reports that the connection over which a fence was granted is
-// gone, so that another process may be at the address. Nothing was sent.
-var ErrProcessUnknown = errors.New("the connection to the process that has the fence is gone")
+// ErrProcessUnknown reports that a grant could not be renewed because the connection
+// over which its fence was granted is closed, so that another process may now listen at
+// the address. Nothing was sent.
+var ErrProcessUnknown = errors.New("the connection over which the fence was granted is closed")
 
-// Lanes are the connections for grants to one target. A connection belongs to one
-// process.
+// Lanes is a pool of connections for grants to one target.
 //
-// Guarantee: a fence that is sent again goes to the process that took it, because
-// it goes over the same connection.
+// It guarantees that a grant is renewed only with the process that accepted it: a
+// connection leads to a single process, and a renewal goes over the connection that
+// carried the first grant of the fence.
 type Lanes struct {
 	address     string
 	dialTimeout time.Duration
 	lanes       [maxLanes]lane
 
 	mu sync.Mutex
-	// taken are the connections over which fences were granted.
+	// taken maps each fence to the connection over which it was granted.
 	taken map[uint64]taken
-	// next is the lane that is waited for next when all are in use.
+	// next is the index of the connection that a grant waited for when last all were in
+	// use.
 	next int
 }
 
-// lane is a place for one connection. Whoever holds its turn may use it.
+// lane is a slot for one connection. Only its current holder may use it.
 type lane struct {
+	// turn contains one element while the slot is not in use. Receiving the element
+	// acquires the slot.
 	turn chan struct{}
-	// connection is nil while there is none. It changes with the turn and Lanes.mu held.
+	// connection is nil if none is open. It changes only while the slot is acquired and
+	// the mutex of the pool is held.
 	connection *connection
-	// named is set once the process has answered to the name in an order.
+	// named is set once the process has accepted an order as addressed to it, i.e. has
+	// answered other than with status 421.
 	named bool
-	idle  *time.Timer
+	// idle closes the connection when it has not been used for some time.
+	idle *time.Timer
 }
 
-// taken is the connection over which a fence was granted, and when it last was.
+// taken records the connection over which a fence was granted, and the time of its last
+// grant.
 type taken struct {
 	lane       *lane
 	connection *connection
 	at         time.Time
 }
 
-// NewLanes returns connections to an address; they are opened when they are needed.
+// NewLanes returns a pool of connections to address. They are opened on demand.
 func NewLanes(address string, dialTimeout time.Duration) *Lanes {
 	l := &Lanes{address: address, dialTimeout: dialTimeout, taken: map[uint64]taken{}}
 	for i := range l.lanes {
@@ -74,10 +83,10 @@
 	return l
 }
 
-// Address returns the address that the lanes lead to.
+// Address returns the address of the target.
 func (l *Lanes) Address() string { return l.address }
 
-// Idle reports whether there is no connection.
+// Idle reports whether no connection is open or in use.
 func (l *Lanes) Idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,10 +98,10 @@
 	return true
 }
 
-// Do sends a grant of a fence and returns status and headers of the answer. again
-// says that the fence has been granted before; the error is ErrProcessUnknown if
-// that connection is gone. After any other error the connection is reset, so that
-// the grant does not arrive later.
+// Do sends a grant and returns the status and the headers of the answer. again is true
+// if the fence has been granted before; then the error is ErrProcessUnknown if the
+// connection over which it was granted is closed. If the exchange fails, the connection
+// is reset, so that the grant does not arrive later.
 func (l *Lanes) Do(ctx context.Context, request *http.Request, fence uint64, again bool) (int, http.Header, error) {
 	n, err := l.take(ctx, fence, again)
 	if err != nil {
@@ -101,7 +110,8 @@
 	defer n.release()
 	response, err := exchange(ctx, n.connection, request)
 	if err == nil && n.named && response.StatusCode == http.StatusMisdirectedRequest {
-		// The process has answered to its name before.
+		// The process has accepted orders as addressed to it before, so this is the
+		// answer to another one.
 		err = errCrossedAnswer
 	}
 	if err != nil {
@@ -118,7 +128,8 @@
 	return response.StatusCode, response.Header, nil
 }
 
-// exchange sends a request and reads its whole answer.
+// exchange sends a request and reads the answer to its end. The connection is reset when
+// the context ends.
 func exchange(ctx context.Context, c *connection, request *http.Request) (*http.Response, error) {
 	stop := context.AfterFunc(ctx, c.socket.reset)
 	defer stop()
@@ -136,11 +147,12 @@
 	return response, DiscardOrderBody(response.Body)
 }
 
-// DiscardOrderBody reads the body of an answer to an order to its end; a long one is
-// an error.
+// DiscardOrderBody reads the body of the answer to an order (a grant or a release) to its
+// end. It returns an error if the body is longer than 64 KiB.
 func DiscardOrderBody(body io.Reader) error { return discard(body, maxOrderReply) }
 
-// take returns a lane with a connection and its turn.
+// take acquires a slot with an open connection. A renewal gets the one that its fence was
+// granted over, and any other grant an idle or a new one.
 func (l *Lanes) take(ctx context.Context, fence uint64, again bool) (*lane, error) {
 	if again {
 		return l.takeOf(ctx, fence)
@@ -160,7 +172,8 @@
 	return n, nil
 }
 
-// takeOf returns the lane with the connection over which a fence was granted.
+// takeOf acquires the slot with the connection over which a fence was granted. The error
+// is ErrProcessUnknown if that connection is closed.
 func (l *Lanes) takeOf(ctx context.Context, fence uint64) (*lane, error) {
 	l.mu.Lock()
 	t, known := l.taken[fence]
@@ -181,8 +194,9 @@
 	return nil, ErrProcessUnknown
 }
 
-// choose returns the lane to use for a new fence: one with a connection that is not
-// in use, or else without one, or else any.
+// choose returns the slot for a new fence without acquiring it. It prefers an unused slot
+// with an open connection, then an unused one without a connection, and takes the slots in
+// turn if all are in use.
 func (l *Lanes) choose() *lane {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,21 +218,22 @@
 	return &l.lanes[l.next]
 }
 
-// await waits for the turn of a lane.
+// await acquires the slot, waiting until it is unused or the context ends.
 func (n *lane) await(ctx context.Context) error {
 	select {
 	case <-n.turn:
 		n.idle.Stop()
 		return nil
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.Unavailable, "try again", "earlier orders to the target have no answer")
+		return fault.Wrap(ctx.Err(), fault.Unavailable, "try again", "earlier grants to the target are still unanswered")
 	}
 }
 
-// release passes the turn on.
+// release makes the slot available to others.
 func (n *lane) release() { n.turn <- struct{}{} }
 
-// open opens the connection of a lane whose turn is held.
+// open opens a connection in a slot that the caller has acquired. Undelivered grants are
+// discarded when the connection is closed, even by the end of this process.
 func (l *Lanes) open(ctx context.Context, n *lane) error {
 	ctx, cancel := context.WithTimeout(ctx, l.dialTimeout)
 	defer cancel()
@@ -233,8 +248,8 @@
 	return nil
 }
 
-// note keeps over which connection a fence was granted, and forgets fences that
-// are no longer renewed.
+// note records the connection over which a fence was granted. It also removes the fences
+// that are no longer renewed or whose connection is closed.
 func (l *Lanes) note(n *lane, fence uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -245,7 +260,7 @@
 	l.taken[fence] = taken{n, n.connection, now}
 }
 
-// closeIdle closes the connection of a lane that nobody uses.
+// closeIdle closes the connection of a slot unless the slot is in use.
 func (l *Lanes) closeIdle(n *lane) {
 	select {
 	case <-n.turn:
@@ -255,7 +270,7 @@
 	}
 }
 
-// reset closes the connection of a lane whose turn is held.
+// reset resets the connection, if any, of a slot that the caller has acquired.
 func (l *Lanes) reset(n *lane) {
 	if n.connection == nil {
 		return
--- a/internal/connection/target/pool.go
+++ b/internal/connection/target/pool.go
@@ -9,37 +9,41 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection and its probe.
+	// dialTimeout limits the time to open and probe a connection.
 	dialTimeout = 500 * time.Millisecond
-	// maxIdle closes an idle connection before a target is likely to do so.
+	// maxIdle is how long a connection may be idle before it is closed. Targets are
+	// expected to close idle connections later.
 	maxIdle = 20 * time.Second
-	// warmRetryInterval is the pause after a failed attempt to open a warm
-	// connection.
+	// warmRetryInterval is the backoff after Warm has failed to open a connection.
 	warmRetryInterval = 500 * time.Millisecond
 )
 
-// Pool holds the connections for requests to one target. It never has more
-// than its limit of them, opens them ahead of need on Warm, and hands out only
-// connections that are quiet and whose target incarnation is known.
+// Pool holds the connections for requests to one target. It never exceeds its limit
+// of open connections and opens them in advance on Warm. It hands out only
+// connections that have no unread bytes and, if they are probed, only after the
+// probe has succeeded.
 type Pool struct {
 	address string
 	limit   int
 	form    Form
 
-	mu       sync.Mutex
-	idle     []*connection
-	open     int
-	closed   bool
-	warming  bool
+	mu   sync.Mutex
+	idle []*connection
+	// open counts the connections that are open or being opened.
+	open   int
+	closed bool
+	// warming is set while a goroutine opens connections ahead of demand.
+	warming bool
+	// warmFrom is the earliest time of the next warm-up after a failed one.
 	warmFrom time.Time
 	lost     int
 }
 
-// NewPool returns a pool of at most limit connections; a limit of 0 or less
-// means 1.
+// NewPool returns a pool of at most limit connections to a target that implements
+// docs/TARGETS.md. A limit of 0 or less means 1.
 func NewPool(address string, limit int) *Pool { return NewPoolOf(address, limit, OwnForm) }
 
-// NewPoolOf returns a pool for targets of another form than the project's own.
+// NewPoolOf is like NewPool for a target that is accessed with other settings.
 func NewPoolOf(address string, limit int, form Form) *Pool {
 	return &Pool{address: address, limit: max(limit, 1), form: form}
 }
@@ -47,22 +51,22 @@
 // Address returns the address that the pool connects to.
 func (p *Pool) Address() string { return p.address }
 
-// Exchange is a connection reserved for one request. Its holder calls Do or
-// Return exactly once.
+// Exchange is a connection that is reserved for one request. Its holder must call
+// either Do or Return, exactly once.
 type Exchange struct {
 	pool       *Pool
 	connection *connection
 }
 
-// Incarnation is the target's incarnation at the other end of the connection;
-// empty if the target does not tell.
+// Incarnation returns the incarnation of the target at the other end of the
+// connection. It is empty if the target has not reported one.
 func (e *Exchange) Incarnation() string { return e.connection.incarnation }
 
-// Return gives an unused connection back.
+// Return returns an unused connection to the pool.
 func (e *Exchange) Return() { e.pool.put(e.connection) }
 
-// Reserve returns an idle connection or opens one. No byte of a request has
-// been sent when it fails; the error is of kind Unavailable.
+// Reserve reserves an idle connection or opens a new one. The error is of kind
+// fault.Unavailable; no byte of a request has been sent then.
 func (p *Pool) Reserve(ctx context.Context) (*Exchange, error) {
 	if c := p.takeIdle(); c != nil {
 		return &Exchange{pool: p, connection: c}, nil
@@ -75,9 +79,9 @@
 	return &Exchange{pool: p, connection: c}, nil
 }
 
-// Warm opens connections in the background, one after the other, until want
-// are open. It is called repeatedly; it also closes idle connections that the
-// target has closed.
+// Warm opens connections in the background, one after the other, until want are
+// open or the limit is reached. It is meant to be called periodically, and also
+// closes idle connections that can no longer be used.
 func (p *Pool) Warm(want int) {
 	p.CloseStale()
 	p.mu.Lock()
@@ -89,9 +93,11 @@
 	go p.openWarm(want)
 }
 
-// wantsMore reports whether fewer than want connections are open. The lock is held.
+// wantsMore reports whether more connections must be opened to have want of them
+// within the limit. The caller holds p.mu.
 func (p *Pool) wantsMore(want int) bool { return !p.closed && p.open < min(want, p.limit) }
 
+// openWarm opens connections for Warm until want are open or an attempt fails.
 func (p *Pool) openWarm(want int) {
 	for {
 		c, err := p.openConnection(context.Background())
@@ -111,8 +117,8 @@
 	}
 }
 
-// Close closes the idle connections and refuses new ones; exchanges in
-// progress run to their end.
+// Close closes the idle connections and refuses to open new ones. In-flight exchanges
+// run to their end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -129,16 +135,16 @@
 	return p.open
 }
 
-// Lost returns how many connections were found closed by the target, or with
-// unexpected bytes, while they were idle. A target that restarts closes them.
+// Lost returns how many idle connections were found closed by the target or with
+// unexpected bytes to read. An increase may mean that the target has restarted.
 func (p *Pool) Lost() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lost
 }
 
-// usable reports whether an idle connection may be used, and counts a lost one.
-// The lock is held.
+// usable reports whether an idle connection may be used. It also updates the idle
+// time of the connection and the count for Lost. The caller holds p.mu.
 func (p *Pool) usable(c *connection) bool {
 	now := time.Now()
 	c.idle = now.Sub(c.idleSince)
@@ -152,7 +158,8 @@
 	return false
 }
 
-// takeIdle returns the connection used last, skipping those that have gone bad.
+// takeIdle removes and returns the most recently used idle connection, or nil if there
+// is none. Connections that can no longer be used are closed.
 func (p *Pool) takeIdle() *connection {
 	p.mu.Lock()
 	var bad []*connection
@@ -173,8 +180,9 @@
 }
 
 // CloseStale closes idle connections that can no longer be used: those that the
-// target has closed or has sent bytes on, and those past their time. A pool looks
-// at a connection by itself only when a request is to use it.
+// target has closed or has sent bytes on, and those that have been idle for too
+// long. It must be called periodically, because otherwise a pool checks a connection
+// only before its use.
 func (p *Pool) CloseStale() {
 	p.mu.Lock()
 	var bad []*connection
@@ -197,12 +205,13 @@
 	}
 }
 
-// put makes a connection idle.
+// put returns a connection to the pool as idle from now on.
 func (p *Pool) put(c *connection) {
 	c.idleSince = time.Now()
 	p.putBack(c)
 }
 
+// putBack adds a connection to the idle ones, or closes it if the pool is closed.
 func (p *Pool) putBack(c *connection) {
 	p.mu.Lock()
 	if !p.closed {
@@ -214,7 +223,8 @@
 	c.close()
 }
 
-// openConnection opens and probes a connection within the limit.
+// openConnection opens a connection, if the limit allows, and probes it if so
+// configured.
 func (p *Pool) openConnection(ctx context.Context) (*connection, error) {
 	if err := p.claim(); err != nil {
 		return nil, err
@@ -237,11 +247,12 @@
 	return c, nil
 }
 
+// claim counts a new connection against the limit before it is opened.
 func (p *Pool) claim() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return fault.New(fault.Unavailable, "send the request to the target's present dispatcher", "the pool is closed")
+		return fault.New(fault.Unavailable, "send the request to the target's current dispatcher", "the connection pool is closed")
 	}
 	if p.open >= p.limit {
 		return fault.New(fault.Unavailable, "raise the target's connections in the manifest", "all %d connections are in use", p.limit)
@@ -250,6 +261,7 @@
 	return nil
 }
 
+// unclaim undoes claim after a connection has been closed or could not be opened.
 func (p *Pool) unclaim() {
 	p.mu.Lock()
 	p.open--
--- a/internal/connection/target/sender.go
+++ b/internal/connection/target/sender.go
@@ -2,20 +2,22 @@
 
 import "net/http"
 
-// sender writes one request to a connection, at once or, for a body that may
-// be slow, on a goroutine of its own.
+// sender writes one request to a connection. A request whose body may be slow is
+// written by a separate goroutine.
 type sender struct {
 	socket *countingSocket
 	done   chan struct{}
-	// err and accepted are set before done is closed.
-	err      error
+	// err, accepted and bodyFailed are set before done is closed.
+	err error
+	// accepted is the number of bytes that the kernel has accepted.
 	accepted int64
-	// bodyFailed is set if the request's body ended early or with an error,
-	// which tells a broken caller from a broken target.
+	// bodyFailed is set if the request's body ended early or with an error. The
+	// fault is then the caller's and not the target's.
 	bodyFailed bool
 }
 
-// startSender begins to write a request.
+// startSender starts to write a request. Unless streamed is set, the request has been
+// written, or has failed, when it returns.
 func startSender(socket *countingSocket, request *http.Request, streamed bool) *sender {
 	s := &sender{socket: socket, done: make(chan struct{})}
 	if streamed {
@@ -26,13 +28,14 @@
 	return s
 }
 
+// write writes the request and closes done.
 func (s *sender) write(request *http.Request) {
 	s.err = request.Write(s.socket)
 	s.accepted = s.socket.accepted
 	s.bodyFailed = s.err != nil && s.socket.writeErr == nil
 	close(s.done)
 	if s.bodyFailed {
-		// The target would wait for a rest that never comes.
+		// Without the reset the target would wait for the rest of the body.
 		s.socket.reset()
 	}
 }
@@ -47,8 +50,8 @@
 	}
 }
 
-// unsent returns the error of a write that ended without the kernel accepting
-// any byte, or nil.
+// unsent returns an error if the write has failed before the kernel accepted any byte
+// of the request, and nil otherwise.
 func (s *sender) unsent() *ExchangeError {
 	select {
 	case <-s.done:
@@ -64,13 +67,14 @@
 	return &ExchangeError{Defect: Broken, Cause: s.err}
 }
 
-// explain builds the error of an exchange whose answer could not be read.
+// explain returns the error of an exchange whose answer could not be read because of
+// cause.
 func (s *sender) explain(cause error) *ExchangeError {
 	select {
 	case <-s.done:
 	default:
-		// The writer waits for its body; what the kernel has accepted by now
-		// is not known here, so the request counts as sent.
+		// The request is still being written. How much of it the kernel has accepted
+		// is not known here, so it counts as sent.
 		return &ExchangeError{Defect: Broken, Handed: true, Cause: cause}
 	}
 	failure := &ExchangeError{Defect: Broken, Handed: s.accepted > 0, Cause: cause}
