--- a/internal/connection/target/control_test.go
+++ b/internal/connection/target/control_test.go
@@ -76,8 +76,9 @@
 	assert.Assert(t, fault.Is(err, fault.UnknownOutcome), "%v", err)
 }
 
-// TestEarlierAnswerIsNoRevocation: the slices would be granted to another target
-// while this one still accepts requests of them.
+// TestEarlierAnswerIsNoRevocation checks that a duplicate of an earlier control reply is
+// not taken for the confirmation of a revocation. Otherwise the slices would be granted
+// to another target while this one still accepts requests for them.
 func TestEarlierAnswerIsNoRevocation(t *testing.T) {
 	var revoked atomic.Bool
 	address := rawserver.Listen(t, func(socket *net.TCPConn) {
--- a/internal/connection/target/cut_test.go
+++ b/internal/connection/target/cut_test.go
@@ -13,8 +13,9 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/connection/target"
 )
 
-// TestCutAnswerNeverLooksWhole, at whichever byte the target closes. Only the body
-// of an answer without a length may end anywhere.
+// TestCutAnswerNeverLooksWhole checks that an answer is not accepted as complete if the
+// target closes the connection after any byte of it. Only the body of an answer
+// without a length or chunked encoding may end at any byte.
 func TestCutAnswerNeverLooksWhole(t *testing.T) {
 	for name, c := range map[string]struct{ text, body string }{
 		"length":       {head("a", "Content-Length: 12", "Keep-Alive: timeout=10\r\n\r\n"), "twelve bytes"},
@@ -46,8 +47,8 @@
 			for n := range len(text) {
 				sent = text[:n]
 				answer, body, err := exchangeOnce(testContext(t), t, pool, request())
-				assert.Assert(t, err != nil, "cut after %q: body %q", sent, body)
-				assert.Assert(t, answer == nil || n >= len(c.text), "cut after %q", sent)
+				assert.Assert(t, err != nil, "answer cut off after %q was accepted with body %q", sent, body)
+				assert.Assert(t, answer == nil || n >= len(c.text), "head cut off after %q was accepted", sent)
 				if answer == nil {
 					handedWithoutAnswer(t, err)
 				}
@@ -59,7 +60,8 @@
 	}
 }
 
-// TestStatusThatIsNoneIsNoAnswer: it would be passed on as bytes that are none.
+// TestStatusThatIsNoneIsNoAnswer checks that invalid status codes are rejected. If one
+// was forwarded, the response to the caller would not be valid HTTP.
 func TestStatusThatIsNoneIsNoAnswer(t *testing.T) {
 	for _, status := range []string{"000", "042", "099", "600", "999"} {
 		t.Run(status, func(t *testing.T) {
@@ -73,7 +75,8 @@
 	}
 }
 
-// TestBodyWhoseFramingIsNotReadIsNoAnswer: it would look whole wherever it is cut.
+// TestBodyWhoseFramingIsNotReadIsNoAnswer checks that an answer is rejected if net/http
+// ignores the framing of its body. The body would seem complete wherever it is cut off.
 func TestBodyWhoseFramingIsNotReadIsNoAnswer(t *testing.T) {
 	id := target.HeaderRequestID + ": a\r\n"
 	for name, text := range map[string]string{
@@ -94,8 +97,8 @@
 	}
 }
 
-// TestAnswerOfHTTP10IsWhole with a length or at the end of its connection, which is
-// not used again.
+// TestAnswerOfHTTP10IsWhole checks that HTTP/1.0 answers are accepted with a length and
+// without one, and that their connections are not reused.
 func TestAnswerOfHTTP10IsWhole(t *testing.T) {
 	for _, header := range []string{"Content-Length: 12\r\nConnection: keep-alive\r\n", ""} {
 		connections := make(chan struct{}, 4)
--- a/internal/connection/target/exchange_test.go
+++ b/internal/connection/target/exchange_test.go
@@ -18,7 +18,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/testutil/faketarget"
 )
 
-// testTimeout bounds one exchange; no verdict depends on its length.
+// testTimeout limits one exchange. No test result depends on its value.
 const testTimeout = 10 * time.Second
 
 func listen(t *testing.T, settings faketarget.Settings) *faketarget.Server {
@@ -56,7 +56,8 @@
 	return request
 }
 
-// exchangeOnce reserves a connection and reads the whole answer.
+// exchangeOnce sends a request over a connection of the pool and reads the answer to its
+// end.
 func exchangeOnce(ctx context.Context, t *testing.T, pool *target.Pool, request *http.Request) (*target.Answer, string, error) {
 	t.Helper()
 	exchange, err := pool.Reserve(ctx)
@@ -93,7 +94,7 @@
 func TestDefectiveAnswersNeverLookWholeAndCloseTheConnection(t *testing.T) {
 	for _, test := range []struct {
 		fault faketarget.Fault
-		// headArrives is set where the defect shows only in the body.
+		// headArrives is set if only the body of the answer is defective.
 		headArrives bool
 	}{
 		{faketarget.FaultCrossed, false},
@@ -107,12 +108,12 @@
 			server := listen(t, faketarget.Settings{})
 			pool := newPool(t, server.Address(), 4)
 			answer, _, err := exchangeOnce(testContext(t), t, pool, newRequest("a", test.fault, ""))
-			assert.Assert(t, err != nil, "a %s answer looked whole", test.fault)
+			assert.Assert(t, err != nil, "a %s answer was accepted as complete", test.fault)
 			assert.Equal(t, answer != nil, test.headArrives)
 			if !test.headArrives {
 				var failure *target.ExchangeError
 				assert.Assert(t, errors.As(err, &failure))
-				assert.Assert(t, failure.Handed, "the target ran the request")
+				assert.Assert(t, failure.Handed, "an error after the target ran the request must report it as sent")
 			}
 			assert.Equal(t, len(server.Record().Executions), 1)
 			assert.Equal(t, pool.Open(), 0, "the connection must not be reused")
@@ -258,7 +259,7 @@
 
 type brokenReader struct{}
 
-func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("the caller went away") }
+func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("the caller disconnected") }
 
 func eventually(t *testing.T, condition func() bool, message string) {
 	t.Helper()
--- a/internal/connection/target/fuzz_test.go
+++ b/internal/connection/target/fuzz_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// script is the connection to a target that writes some bytes and closes.
+// script is a connection to a target that sends a fixed text and closes.
 type script struct {
 	net.Conn
 	text io.Reader
@@ -26,8 +26,8 @@
 func (s *script) Write(p []byte) (int, error) { return len(p), nil }
 func (s *script) Close() error                { return nil }
 
-// play returns the answer to a request that a target answers with a text, read to
-// its end.
+// play sends a request to a target that answers with text, and returns the answer that
+// the exchange read.
 func play(form Form, method, text string) (status int, body string, err error) {
 	source := &boundedReader{source: &script{text: strings.NewReader(text)}, left: math.MaxInt64}
 	c := &connection{socket: &countingSocket{Conn: source.source.(net.Conn)}, source: source, reader: bufio.NewReader(source)}
@@ -43,8 +43,9 @@
 	return answer.Status, string(content), err
 }
 
-// reading reads a text by RFC 9112, apart from net/http; a method returns false if
-// the text is no answer.
+// reading is a reference parser of answers by RFC 9112, independent of net/http. text is
+// what has not been parsed yet. Its methods return false if the text is not a valid and
+// complete answer.
 type reading struct{ text string }
 
 var (
@@ -54,13 +55,15 @@
 	referenceChunk  = regexp.MustCompile(`^([0-9A-Fa-f]+)[ \t]*(;.*)?$`)
 )
 
+// line reads one line.
 func (r *reading) line() (string, bool) {
 	line, rest, found := strings.Cut(r.text, "\n")
 	r.text = rest
 	return strings.TrimSuffix(line, "\r"), found
 }
 
-// headers reads header or trailer lines to the empty one.
+// headers reads header or trailer lines up to the empty line. The names in the result are
+// in lower case.
 func (r *reading) headers() (map[string][]string, bool) {
 	headers, last := map[string][]string{}, ""
 	for {
@@ -85,6 +88,7 @@
 	}
 }
 
+// take reads n bytes.
 func (r *reading) take(n int) (string, bool) {
 	if n < 0 || n > len(r.text) {
 		return "", false
@@ -94,6 +98,7 @@
 	return taken, true
 }
 
+// chunks reads a chunked body with its trailers.
 func (r *reading) chunks() (body string, ok bool) {
 	for {
 		line, ok := r.line()
@@ -120,7 +125,7 @@
 	}
 }
 
-// answer reads one answer; framed is set if its end does not depend on that of the
+// answer reads one answer. framed is set if its end does not depend on the end of the
 // connection.
 func (r *reading) answer(method string) (status int, ids []string, body string, framed, ok bool) {
 	line, ok := r.line()
@@ -156,7 +161,7 @@
 	return status, ids, body, false, true
 }
 
-// own reads the answer to the request, past informational and stray ones.
+// own reads the answer to the request and skips informational and stray answers before it.
 func (r *reading) own(form Form, method string) (status int, body string, ok bool) {
 	for skipped := 0; ; {
 		status, ids, body, framed, ok := r.answer(method)
@@ -176,8 +181,8 @@
 	}
 }
 
-// FuzzAnswer: an exchange brings an answer that is complete only if the bytes hold
-// the whole answer to its request.
+// FuzzAnswer checks that an exchange returns a complete answer only if the reference parser
+// finds the same one, complete and for this request, in the bytes of the target.
 func FuzzAnswer(f *testing.F) {
 	own := HeaderRequestID + ": a\r\n"
 	for _, text := range []string{
@@ -210,7 +215,7 @@
 		}
 		wantStatus, wantBody, ok := (&reading{text}).own(form, method)
 		if !ok || status != wantStatus || body != wantBody {
-			t.Fatalf("%s %q: %d %q; want %d %q %v", method, text, status, body, wantStatus, wantBody, ok)
+			t.Fatalf("%s request answered by %q: got status %d and body %q; want %d, %q (valid: %v)", method, text, status, body, wantStatus, wantBody, ok)
 		}
 	})
 }
--- a/internal/connection/target/giveup_test.go
+++ b/internal/connection/target/giveup_test.go
@@ -16,12 +16,13 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/connection/target"
 )
 
-// slowReceiver is the receive buffer of a target that does not read, in bytes.
+// slowReceiver is the size of the receive buffer of a target that does not read, in
+// bytes.
 const slowReceiver = 4 << 10
 
-// TestARequestThatWasGivenUpIsNotDeliveredLater plays a partition that heals: the
-// kernel has taken the whole request, the target takes no more of it, and the
-// exchange is given up. What the target reads later must not be the request.
+// TestARequestThatWasGivenUpIsNotDeliveredLater simulates a network partition that heals:
+// the kernel has accepted the whole request, the target receives only a part of it, and
+// the exchange times out. The target must not receive the rest afterwards.
 func TestARequestThatWasGivenUpIsNotDeliveredLater(t *testing.T) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
@@ -48,10 +49,10 @@
 	body := strings.Repeat("x", 64<<10)
 	_, err = exchange.Do(ctx, newRequest("late", "", body), false)
 	var failed *target.ExchangeError
-	assert.Assert(t, errors.As(err, &failed) && failed.Handed, "the request was handed to the kernel: %v", err)
+	assert.Assert(t, errors.As(err, &failed) && failed.Handed, "the kernel had accepted the request: %v", err)
 
 	assert.NilError(t, accepted.SetReadDeadline(time.Now().Add(testTimeout)))
 	received, err := io.ReadAll(accepted)
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
-	assert.Assert(t, len(received) < len(body), "%d bytes arrived after the exchange was given up", len(received))
+	assert.Assert(t, len(received) < len(body), "the target received %d bytes, the whole request, after the exchange had timed out", len(received))
 }
--- a/internal/connection/target/glued_test.go
+++ b/internal/connection/target/glued_test.go
@@ -15,8 +15,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/testutil/rawserver"
 )
 
-// TestCutHeadBeforeTheAnswerIsNoPartOfIt, at whichever byte the head of the other
-// answer is cut.
+// TestCutHeadBeforeTheAnswerIsNoPartOfIt checks that nothing of another answer, whose head
+// is cut off after any byte, ends up in the answer that follows it on the connection.
 func TestCutHeadBeforeTheAnswerIsNoPartOfIt(t *testing.T) {
 	id := target.HeaderRequestID + ": x\r\n"
 	for name, cut := range map[string]string{
@@ -39,9 +39,9 @@
 						handedWithoutAnswer(t, err)
 						continue
 					}
-					assert.Equal(t, answer.Status, http.StatusOK, "cut after %q", cut[:n])
-					assert.Equal(t, answer.Header.Get(target.HeaderNotRun), "", "cut after %q", cut[:n])
-					assert.Equal(t, body, "a", "cut after %q", cut[:n])
+					assert.Equal(t, answer.Status, http.StatusOK, "earlier answer cut off after %q", cut[:n])
+					assert.Equal(t, answer.Header.Get(target.HeaderNotRun), "", "earlier answer cut off after %q", cut[:n])
+					assert.Equal(t, body, "a", "earlier answer cut off after %q", cut[:n])
 					assert.NilError(t, err)
 				}
 			})
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestCutHeadOfTheAnswerTakesNothingFromTheNext, at whichever byte it is cut.
+// TestCutHeadOfTheAnswerTakesNothingFromTheNext checks that an answer whose head is cut off
+// after any byte is not completed by another answer that follows it.
 func TestCutHeadOfTheAnswerTakesNothingFromTheNext(t *testing.T) {
 	refusal := "HTTP/1.1 503 Service Unavailable\r\n" + target.HeaderNotRun + ": shed\r\n" + target.HeaderRequestID + ": x\r\nContent-Length: 0\r\n\r\n"
 	cut := strings.TrimSuffix(head("a", "Keep-Alive: timeout=10\r\n\r\n"), "\n")
@@ -59,7 +60,7 @@
 			_, _ = io.WriteString(socket, cut[:n]+refusal)
 		})
 		answer, _, err := exchangeOnce(testContext(t), t, pool, newRequest("a", "", ""))
-		assert.Assert(t, answer == nil, "cut after %q", cut[:n])
+		assert.Assert(t, answer == nil, "answer cut off after %q was accepted", cut[:n])
 		handedWithoutAnswer(t, err)
 	}
 }
--- a/internal/connection/target/hostile_test.go
+++ b/internal/connection/target/hostile_test.go
@@ -20,21 +20,22 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/testutil/rawserver"
 )
 
-// maxAllocated bounds the memory that an answer without end may cost, in bytes.
+// maxAllocated limits the memory allocated for an endless answer, in bytes.
 const maxAllocated = 8 << 20
 
-// strayForm is the form of targets whose stray answers are read past.
+// strayForm holds the pool settings that skip stray answers.
 var strayForm = target.Form{
 	RequestIDHeader: target.HeaderRequestID, Unframed: true, SkipStray: true, DialTimeout: testTimeout, MaxIdle: testTimeout,
 }
 
+// strayPool returns a pool for a target that serves each connection with serve.
 func strayPool(t *testing.T, serve func(*net.TCPConn)) *target.Pool {
 	pool := target.NewPoolOf(rawserver.Listen(t, serve), 4, strayForm)
 	t.Cleanup(pool.Close)
 	return pool
 }
 
-// readRequest reads a request with its body and returns its id.
+// readRequest reads a request including its body and returns its ID.
 func readRequest(in *bufio.Reader) (string, error) {
 	request, err := http.ReadRequest(in)
 	if err != nil {
@@ -44,25 +45,27 @@
 	return request.Header.Get(target.HeaderRequestID), err
 }
 
-// head is the beginning of an answer to a request.
+// head returns a status line and headers of an answer to the request with an ID. It does
+// not add the final line break and the empty line.
 func head(id string, headers ...string) string {
 	return "HTTP/1.1 200 OK\r\n" + target.HeaderRequestID + ": " + id + "\r\n" + strings.Join(headers, "\r\n")
 }
 
-// whole is a complete answer with the id as its body.
+// whole returns a complete answer to the request with an ID. The body is the ID.
 func whole(id string) string {
 	return head(id, fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(id), id))
 }
 
-// handedWithoutAnswer asserts that the request counts as one that may have run.
+// handedWithoutAnswer asserts that err is that of a request that may have run but has no
+// answer.
 func handedWithoutAnswer(t *testing.T, err error) {
 	t.Helper()
 	var failed *target.ExchangeError
-	assert.Assert(t, errors.As(err, &failed) && failed.Handed, "%v", err)
+	assert.Assert(t, errors.As(err, &failed) && failed.Handed, "want the error of a request that was sent; got %v", err)
 }
 
-// TestAnswerWithoutEndEndsTheExchange, soon and in little memory, wherever in a
-// head or in its framing the target goes on for ever.
+// TestAnswerWithoutEndEndsTheExchange checks that an endless answer ends the exchange soon
+// and allocates little memory, whichever part of the head or of the framing is endless.
 func TestAnswerWithoutEndEndsTheExchange(t *testing.T) {
 	line := strings.Repeat("x", 1000)
 	for name, c := range map[string]struct{ begin, again string }{
@@ -101,7 +104,7 @@
 			runtime.ReadMemStats(&after)
 			assert.Assert(t, err != nil)
 			allocated := after.TotalAlloc - before.TotalAlloc
-			assert.Check(t, allocated < maxAllocated, "%d bytes", allocated)
+			assert.Check(t, allocated < maxAllocated, "%d bytes were allocated", allocated)
 			assert.NilError(t, ctx.Err(), "the exchange lasted until its deadline")
 			assert.Equal(t, pool.Open(), 0)
 			<-ended
@@ -109,8 +112,8 @@
 	}
 }
 
-// TestBytesBeyondTheLengthEndTheConnection even if there is no end of them; the
-// answer stands.
+// TestBytesBeyondTheLengthEndTheConnection checks that bytes after the end of an answer,
+// even endless ones, close the connection and leave the answer valid.
 func TestBytesBeyondTheLengthEndTheConnection(t *testing.T) {
 	ended := make(chan struct{})
 	pool := strayPool(t, func(socket *net.TCPConn) {
@@ -126,11 +129,12 @@
 	eventually(t, func() bool {
 		pool.CloseStale()
 		return pool.Open() == 0
-	}, "the connection is kept")
+	}, "the connection was not closed")
 	<-ended
 }
 
-// TestBytesOnAnIdleConnectionEndIt, whatever they are.
+// TestBytesOnAnIdleConnectionEndIt checks that an idle connection is closed when the target
+// sends anything on it.
 func TestBytesOnAnIdleConnectionEndIt(t *testing.T) {
 	for name, text := range map[string]string{
 		"garbage": strings.Repeat("x", 32<<10), "heads": "HTTP/1.1 103 Early Hints\r\n\r\n", "an earlier refusal": head("x", "Content-Length: 0\r\n\r\n"),
@@ -153,13 +157,14 @@
 			eventually(t, func() bool {
 				pool.CloseStale()
 				return pool.Open() == 0
-			}, "the connection is kept")
+			}, "the connection was not closed")
 			<-ended
 		})
 	}
 }
 
-// TestBytesBeyondTheProbeSendNoRequest: what is sent behind them would be lost.
+// TestBytesBeyondTheProbeSendNoRequest checks that a connection is not used if bytes follow
+// the answer to its probe. They would be read instead of the answer to a request.
 func TestBytesBeyondTheProbeSendNoRequest(t *testing.T) {
 	for name, text := range map[string]string{
 		"doubled":  whole("") + whole(""),
--- a/internal/connection/target/idle_test.go
+++ b/internal/connection/target/idle_test.go
@@ -15,8 +15,9 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/testutil/rawserver"
 )
 
-// forgetful serves connections and resets one that was idle for longer than a
-// limit, only once the next request arrives on it. It returns its address.
+// forgetful starts a target that drops connections without notice when they have been idle
+// for longer than limit: it resets them once the next request arrives. It returns the
+// target's address.
 func forgetful(t *testing.T, limit time.Duration) string {
 	t.Helper()
 	return rawserver.Listen(t, func(socket *net.TCPConn) { serveForgetful(socket, limit) })
@@ -42,8 +43,9 @@
 	}
 }
 
-// TestIdleTimeIsLearnt: once two connections turned out to be forgotten, requests
-// to all targets that share the limit avoid idle ones, and lose no answer.
+// TestIdleTimeIsLearnt checks that after two dropped connections the pools that share an
+// IdleLimit no longer use connections that were idle for as long, so that no more
+// requests fail.
 func TestIdleTimeIsLearnt(t *testing.T) {
 	const forgets, pause = 100 * time.Millisecond, 150 * time.Millisecond
 	form := target.OwnForm
@@ -60,11 +62,11 @@
 		}
 		time.Sleep(pause)
 	}
-	assert.Equal(t, lost, 2, "requests were lost to connections that are known to be forgotten")
-	// Connections in steady use are kept.
+	assert.Equal(t, lost, 2, "requests must fail only until the idle limit has been learned")
+	// Connections that are not idle are still reused.
 	for i := range 10 {
 		_, _, err := exchangeOnce(context.Background(), t, first, newRequest(fmt.Sprint("busy", i), "", ""))
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, first.Open() <= 2, "%d connections", first.Open())
+	assert.Assert(t, first.Open() <= 2, "%d connections are open", first.Open())
 }
--- a/internal/connection/target/lanes_test.go
+++ b/internal/connection/target/lanes_test.go
@@ -21,23 +21,24 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/connection/target"
 )
 
-// patience is how long an answer is waited for that has to come.
+// patience is the timeout for grants that must be answered.
 const patience = 10 * time.Second
 
-// grantor is a process that takes grants, and counts them and its connections.
+// grantor is a target process that accepts grants and counts them and its connections.
 type grantor struct {
 	server              *httptest.Server
 	grants, connections atomic.Int64
-	// silent leaves the next orders without an answer.
+	// silent is the number of next grants that are not answered.
 	silent atomic.Int64
-	// closes ends each connection after its answer.
+	// closes makes the target close each connection after an answer.
 	closes atomic.Bool
 }
 
 func newGrantor(t *testing.T) *grantor {
 	g := &grantor{}
 	g.server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Only a read of the whole request lets the server notice its end.
+		// The server notices the end of the connection only after the whole request has
+		// been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		g.grants.Add(1)
 		if g.silent.Add(-1) >= 0 {
@@ -59,6 +60,7 @@
 
 func (g *grantor) address() string { return g.server.Listener.Addr().String() }
 
+// grant sends a grant of a fence, a renewal if again is set, with a timeout.
 func grant(t *testing.T, lanes *target.Lanes, fence uint64, again bool, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
@@ -68,6 +70,8 @@
 	return err
 }
 
+// TestFenceIsNotSentAgainOverAnotherConnection checks that a grant is not renewed after its
+// connection is closed, because another process may have taken over the address.
 func TestFenceIsNotSentAgainOverAnotherConnection(t *testing.T) {
 	for name, lose := range map[string]func(*grantor, *target.Lanes){
 		"closed by the target": func(g *grantor, _ *target.Lanes) {
@@ -78,7 +82,7 @@
 			g.closes.Store(true)
 			assert.NilError(t, grant(t, lanes, 1, true, patience))
 		},
-		"an order without an answer": func(g *grantor, lanes *target.Lanes) {
+		"an unanswered grant": func(g *grantor, lanes *target.Lanes) {
 			g.silent.Store(1)
 			assert.Assert(t, grant(t, lanes, 1, true, 50*time.Millisecond) != nil)
 		},
@@ -98,7 +102,9 @@
 	}
 }
 
-// TestGrantsEndWithTheirSender: what a VM that is killed has not delivered must not arrive through a partition that heals.
+// TestGrantsEndWithTheirSender checks that the connection is reset when the granting process
+// is killed, so that undelivered grants of a killed VM cannot arrive once a network partition
+// heals.
 func TestGrantsEndWithTheirSender(t *testing.T) {
 	const addressVariable = "GRANT_TO"
 	if address := os.Getenv(addressVariable); address != "" {
@@ -122,10 +128,12 @@
 	assert.NilError(t, sender.Process.Kill())
 	_ = sender.Wait()
 	_, err = reader.ReadByte()
-	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "the connection ended with: %v", err)
+	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "the connection must end with a reset; got %v", err)
 }
 
-// TestEachRefusalOfAnotherProcessIsHeard: one that counts as lost lets the keys of the former process wait for a grant's length.
+// TestEachRefusalOfAnotherProcessIsHeard checks that each answer with status 421 is returned
+// while the process at the address has not accepted any grant. If one was treated as a lost
+// answer, the keys of the former process would be unavailable for the duration of a grant.
 func TestEachRefusalOfAnotherProcessIsHeard(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -170,6 +178,6 @@
 	for range 100 {
 		assert.NilError(t, <-results)
 	}
-	assert.Assert(t, g.connections.Load() <= 4, "%d connections", g.connections.Load())
+	assert.Assert(t, g.connections.Load() <= 4, "%d connections were opened", g.connections.Load())
 	assert.Assert(t, !lanes.Idle())
 }
--- a/internal/connection/target/stray_test.go
+++ b/internal/connection/target/stray_test.go
@@ -15,8 +15,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/connection/target"
 )
 
-// TestEarlierRefusalIsNoAnswer: a refusal of an earlier request, written once more,
-// is never taken for the answer to the next one, whenever it comes.
+// TestEarlierRefusalIsNoAnswer checks that a duplicated refusal of an earlier request is
+// never taken for the answer to the next request, whenever it arrives.
 func TestEarlierRefusalIsNoAnswer(t *testing.T) {
 	type moments struct{ glued, idle, before, between string }
 	for _, status := range []string{"408 Request Timeout", "421 Misdirected Request", "429 Too Many Requests", "503 Service Unavailable"} {
@@ -81,8 +81,9 @@
 	}
 }
 
-// TestStrayAnswerToAHeadRequestIsNotReadPast: whether it has a body is not known, and
-// one could hold what looks like the answer.
+// TestStrayAnswerToAHeadRequestIsNotReadPast checks that a stray answer before the answer to
+// a HEAD request is not skipped. It is unknown whether the stray answer has a body, and the
+// body could contain what looks like the answer.
 func TestStrayAnswerToAHeadRequestIsNotReadPast(t *testing.T) {
 	pool := strayPool(t, func(socket *net.TCPConn) {
 		id, _ := readRequest(bufio.NewReader(socket))
@@ -95,7 +96,8 @@
 	handedWithoutAnswer(t, err)
 }
 
-// TestAnswerThatNamesTwoRequestsIsNone: which of them it is for is not known.
+// TestAnswerThatNamesTwoRequestsIsNone checks that an answer with two request IDs is rejected,
+// because it is unknown which request it is for.
 func TestAnswerThatNamesTwoRequestsIsNone(t *testing.T) {
 	for _, ids := range [][2]string{{"a", "x"}, {"x", "a"}} {
 		pool := strayPool(t, func(socket *net.TCPConn) {
@@ -107,15 +109,16 @@
 	}
 }
 
-// TestEarlierRefusalInAnyFormIsNoAnswer, before the body of the next request has been
-// read or after it. Where its end can be told, the answer behind it is not lost.
+// TestEarlierRefusalInAnyFormIsNoAnswer checks that a duplicated refusal of an earlier request
+// is not taken for the answer, whether it is sent before or after the target has read the
+// body of the next request. If its end can be determined, the answer that follows is found.
 func TestEarlierRefusalInAnyFormIsNoAnswer(t *testing.T) {
 	const begin = "503 Service Unavailable\r\nNot-Executed: 1\r\n" + target.HeaderNotRun + ": shed\r\n"
 	id := target.HeaderRequestID + ": x\r\n"
 	twice := strings.ToLower(target.HeaderRequestID) + ": a\r\n" + strings.ToUpper(target.HeaderRequestID) + ": "
 	for name, c := range map[string]struct {
 		refusal string
-		// answered is set if the answer to the request is found behind it.
+		// answered is set if the answer that follows the refusal must be found.
 		answered bool
 	}{
 		"chunked":                   {"HTTP/1.1 " + begin + id + "Transfer-Encoding: chunked\r\n\r\n4;e=f\r\nfull\r\n0\r\nT: u\r\n\r\n", true},
@@ -165,7 +168,7 @@
 					}
 					_, _ = io.WriteString(socket, whole("b"))
 					if !strings.Contains(name, "cut") {
-						// A target keeps its connection.
+						// Keep the connection open, as targets do.
 						_, _ = readRequest(in)
 					}
 				})
