--- a/internal/connection/target/connection.go
+++ b/internal/connection/target/connection.go
@@ -25,35 +25,35 @@
 	// accepted it, so the value is valid for as long as the connection works.
 	incarnation string
 	idleSince   time.Time
-	// idle is how long the connection was idle before its current use; 0 for a
+	// idleFor is how long the connection was idleFor before its current use; 0 for a
 	// new connection.
-	idle      time.Duration
+	idleFor   time.Duration
 	closeOnce sync.Once
 	onClose   func()
 }
 
-// maxHead limits the head of an answer, including preceding informational (1xx)
+// maxHeadBytes limits the head of an answer, including preceding informational (1xx)
 // heads, in bytes. Common proxies accept 8 to 64 KiB.
-const maxHead = 64 << 10
+const maxHeadBytes = 64 << 10
 
 var (
-	errLongHead   = errors.New("the head of the answer is too long")
-	errLongAnswer = errors.New("the target sent bytes after the end of its answer")
+	errHeadTooLong = errors.New("the head of the answer is too long")
+	errExtraBytes  = errors.New("the target sent bytes after the end of its answer")
 )
 
 // boundedReader returns an error once it has returned a number of bytes.
 type boundedReader struct {
-	source io.Reader
-	left   int64
+	source    io.Reader
+	remaining int64
 }
 
 // Read implements io.Reader.
 func (r *boundedReader) Read(p []byte) (int, error) {
-	if r.left <= 0 {
-		return 0, errLongHead
+	if r.remaining <= 0 {
+		return 0, errHeadTooLong
 	}
-	n, err := r.source.Read(p[:min(int64(len(p)), r.left)])
-	r.left -= int64(n)
+	n, err := r.source.Read(p[:min(int64(len(p)), r.remaining)])
+	r.remaining -= int64(n)
 	return n, err
 }
 
@@ -81,13 +81,13 @@
 // abandoned request could reach the target seconds later, once a network partition
 // heals.
 func (s *countingSocket) reset() {
-	s.dropUndelivered()
+	s.discardUndeliveredOnClose()
 	_ = s.Close()
 }
 
-// dropUndelivered makes the kernel discard undelivered data when the socket is
+// discardUndeliveredOnClose makes the kernel discard undelivered data when the socket is
 // closed, including when it is closed because this process ends.
-func (s *countingSocket) dropUndelivered() {
+func (s *countingSocket) discardUndeliveredOnClose() {
 	if tcp, ok := s.Conn.(*net.TCPConn); ok {
 		// SetLinger fails only on a socket that is already closed.
 		_ = tcp.SetLinger(0)
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	source := &boundedReader{source: socket, left: math.MaxInt64}
+	source := &boundedReader{source: socket, remaining: math.MaxInt64}
 	return &connection{socket: &countingSocket{Conn: socket}, source: source, reader: bufio.NewReader(source)}, nil
 }
 
@@ -115,9 +115,9 @@
 	})
 }
 
-// quiet reports whether a connection between exchanges is open and has nothing to
+// reusable reports whether a connection between exchanges is open and has nothing to
 // read. Bytes on such a connection belong to a delayed or duplicated answer.
-func (c *connection) quiet() bool {
+func (c *connection) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -129,14 +129,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = control.Read(func(fd uintptr) bool {
 		var peeked [1]byte
 		_, _, peekErr := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = peekErr == syscall.EAGAIN
+		reusable = peekErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
 // probe sends a health check on this connection to learn which incarnation of the
@@ -157,14 +157,14 @@
 		return err
 	}
 	defer response.Body.Close()
-	if !hasLength(response, http.MethodGet) || response.Close {
-		return errIncompleteAnswer
+	if !isFramed(response, http.MethodGet) || response.Close {
+		return errUnframedAnswer
 	}
-	if err := discard(response.Body, maxControlReply); err != nil {
+	if err := discard(response.Body, maxControlReplyBytes); err != nil {
 		return err
 	}
-	if !c.quiet() {
-		return errLongAnswer
+	if !c.reusable() {
+		return errExtraBytes
 	}
 	c.incarnation = response.Header.Get(HeaderIncarnation)
 	c.socket.accepted = 0
--- a/internal/connection/target/control.go
+++ b/internal/connection/target/control.go
@@ -25,29 +25,29 @@
 	controlIdleTimeout = 30 * time.Second
 	// controlDialTimeout limits the time to open a control connection.
 	controlDialTimeout = 500 * time.Millisecond
-	// maxControlReply limits the body of the reply to a control request, in bytes.
-	maxControlReply = 1 << 20
+	// maxControlReplyBytes limits the body of the reply to a control request, in bytes.
+	maxControlReplyBytes = 1 << 20
 )
 
 // ControlClient implements Controller over HTTP. Its connections are separate from
 // those for requests, so that in-flight requests never delay a grant.
 type ControlClient struct {
 	mu      sync.Mutex
-	targets map[string]*controlled
+	targets map[string]*controlState
 }
 
-// controlled is the client's state for one target address.
-type controlled struct {
-	// turns is a semaphore that limits the in-flight calls, and with them the
+// controlState is the client's state for one target address.
+type controlState struct {
+	// inFlight is a semaphore that limits the in-flight calls, and with them the
 	// connections.
-	turns     chan struct{}
+	inFlight  chan struct{}
 	transport *http.Transport
 	usedAt    time.Time
 }
 
 // NewControlClient returns a client. Close closes its connections.
 func NewControlClient() *ControlClient {
-	return &ControlClient{targets: map[string]*controlled{}}
+	return &ControlClient{targets: map[string]*controlState{}}
 }
 
 func newControlTransport() *http.Transport {
@@ -55,7 +55,7 @@
 		DialContext:            (&net.Dialer{Timeout: controlDialTimeout}).DialContext,
 		MaxIdleConnsPerHost:    ControlConnections,
 		IdleConnTimeout:        controlIdleTimeout,
-		MaxResponseHeaderBytes: maxHead,
+		MaxResponseHeaderBytes: maxHeadBytes,
 		DisableCompression:     true,
 	}
 }
@@ -69,10 +69,10 @@
 	}
 }
 
-// to returns the state for an address, creating it if needed. Creating one also
+// stateFor returns the state for an address, creating it if needed. Creating one also
 // removes the state of addresses that have not been called for twice the idle
 // timeout.
-func (c *ControlClient) to(address string) *controlled {
+func (c *ControlClient) stateFor(address string) *controlState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -80,10 +80,10 @@
 	if t == nil {
 		// The connections of the removed entries have already been closed by the
 		// idle timeout.
-		maps.DeleteFunc(c.targets, func(_ string, t *controlled) bool {
-			return len(t.turns) == 0 && now.Sub(t.usedAt) > 2*controlIdleTimeout
+		maps.DeleteFunc(c.targets, func(_ string, t *controlState) bool {
+			return len(t.inFlight) == 0 && now.Sub(t.usedAt) > 2*controlIdleTimeout
 		})
-		t = &controlled{turns: make(chan struct{}, ControlConnections), transport: newControlTransport()}
+		t = &controlState{inFlight: make(chan struct{}, ControlConnections), transport: newControlTransport()}
 		c.targets[address] = t
 	}
 	t.usedAt = now
@@ -116,10 +116,10 @@
 	if err != nil {
 		return err
 	}
-	t := c.to(address)
+	t := c.stateFor(address)
 	select {
-	case t.turns <- struct{}{}:
-		defer func() { <-t.turns }()
+	case t.inFlight <- struct{}{}:
+		defer func() { <-t.inFlight }()
 	case <-ctx.Done():
 		return callError(ctx.Err(), address)
 	}
@@ -137,7 +137,7 @@
 		return callError(err, address)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxControlReply))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxControlReplyBytes))
 	if err != nil {
 		return callError(err, address)
 	}
--- a/internal/connection/target/exchange.go
+++ b/internal/connection/target/exchange.go
@@ -63,18 +63,18 @@
 func (e *ExchangeError) Unwrap() error { return e.Cause }
 
 const (
-	// maxStray limits how many stray answers are skipped before the answer to the
+	// maxStrayAnswers limits how many stray answers are skipped before the answer to the
 	// request.
-	maxStray = 3
-	// maxStrayBody limits the body of a stray answer that is skipped, in bytes.
+	maxStrayAnswers = 3
+	// maxStrayBodyBytes limits the body of a stray answer that is skipped, in bytes.
 	// Skipping a body beyond the size of the largest answers that are held back takes
 	// more time than the request is worth.
-	maxStrayBody = 1 << 20
+	maxStrayBodyBytes = 1 << 20
 )
 
 var (
-	errIncompleteAnswer = errors.New("answer has neither a length nor chunked encoding")
-	errCrossedAnswer    = errors.New("answer is for another request")
+	errUnframedAnswer   = errors.New("answer has neither a length nor chunked encoding")
+	errMismatchedAnswer = errors.New("answer is for another request")
 	errUnexpectedSwitch = errors.New("target switched protocols")
 )
 
@@ -85,7 +85,7 @@
 func (e *Exchange) Do(ctx context.Context, request *http.Request, streamed bool) (*Answer, error) {
 	c := e.connection
 	c.socket.accepted = 0
-	run := &exchangeRun{pool: e.pool, connection: c, requestID: request.Header.Get(e.pool.form.RequestIDHeader), method: request.Method}
+	run := &exchangeRun{pool: e.pool, connection: c, requestID: request.Header.Get(e.pool.options.RequestIDHeader), method: request.Method}
 	run.stop = context.AfterFunc(ctx, c.socket.reset)
 	answer, err := run.perform(request, streamed)
 	if err != nil {
@@ -110,17 +110,17 @@
 // perform sends the request and reads the head of the answer.
 func (r *exchangeRun) perform(request *http.Request, streamed bool) (*Answer, error) {
 	r.sender = startSender(r.connection.socket, request, streamed)
-	if failure := r.sender.unsent(); failure != nil {
+	if failure := r.sender.unsentError(); failure != nil {
 		return nil, failure
 	}
-	response, err := r.readOwnHead(request)
+	response, err := r.readMatchingHead(request)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNRESET) {
-			r.pool.form.Idle.dropped(r.connection.idle, time.Now())
+			r.pool.options.Idle.recordDrop(r.connection.idleFor, time.Now())
 		}
-		return nil, r.sender.explain(err)
+		return nil, r.sender.exchangeError(err)
 	}
-	if defect, err := r.check(response); err != nil {
+	if defect, err := r.validate(response); err != nil {
 		return nil, &ExchangeError{Defect: defect, Handed: true, Cause: err}
 	}
 	if incarnation := response.Header.Get(HeaderIncarnation); incarnation != "" {
@@ -133,52 +133,52 @@
 	}, nil
 }
 
-// readOwnHead reads the head of the answer. Stray answers to other requests that
+// readMatchingHead reads the head of the answer. Stray answers to other requests that
 // precede it are skipped if SkipStray is set, except in two cases: if this is a HEAD
 // request, it is unknown whether a stray answer has a body; and an HTTP/1.0 answer is
 // parsed through a buffer that reads beyond its body.
-func (r *exchangeRun) readOwnHead(request *http.Request) (*http.Response, error) {
+func (r *exchangeRun) readMatchingHead(request *http.Request) (*http.Response, error) {
 	for skipped := 0; ; skipped++ {
 		response, err := readHead(r.connection, request)
 		if err != nil {
 			return nil, err
 		}
-		form := r.pool.form
-		own := r.owns(response)
-		skips := form.SkipStray && r.method != http.MethodHead && response.ProtoAtLeast(1, 1) && skipped < maxStray
-		if own || !skips || !hasLength(response, r.method) {
+		options := r.pool.options
+		matches := r.matches(response)
+		maySkip := options.SkipStray && r.method != http.MethodHead && response.ProtoAtLeast(1, 1) && skipped < maxStrayAnswers
+		if matches || !maySkip || !isFramed(response, r.method) {
 			return response, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBody+1))
+		n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBodyBytes+1))
 		if err != nil {
 			return nil, err
 		}
-		if n > maxStrayBody {
+		if n > maxStrayBodyBytes {
 			return response, nil
 		}
 	}
 }
 
-// owns reports whether an answer carries the ID of this request and of no other.
-func (r *exchangeRun) owns(response *http.Response) bool {
-	ids := response.Header.Values(r.pool.form.RequestIDHeader)
+// matches reports whether an answer carries the ID of this request and of no other.
+func (r *exchangeRun) matches(response *http.Response) bool {
+	ids := response.Header.Values(r.pool.options.RequestIDHeader)
 	if len(ids) == 0 {
 		return r.requestID == ""
 	}
 	return !slices.ContainsFunc(ids, func(id string) bool { return id != r.requestID })
 }
 
-// check returns an error unless the answer is for this request and, if required,
+// validate returns an error unless the answer is for this request and, if required,
 // its end does not depend on the end of the connection.
-func (r *exchangeRun) check(response *http.Response) (Defect, error) {
+func (r *exchangeRun) validate(response *http.Response) (Defect, error) {
 	if response.StatusCode == http.StatusSwitchingProtocols {
 		return Malformed, errUnexpectedSwitch
 	}
-	if !r.owns(response) {
-		return Crossed, errCrossedAnswer
+	if !r.matches(response) {
+		return Crossed, errMismatchedAnswer
 	}
-	if !r.pool.form.Unframed && !hasLength(response, r.method) {
-		return Malformed, errIncompleteAnswer
+	if !r.pool.options.Unframed && !isFramed(response, r.method) {
+		return Malformed, errUnframedAnswer
 	}
 	return 0, nil
 }
@@ -188,7 +188,7 @@
 func (r *exchangeRun) complete(response *http.Response) {
 	r.finishOnce.Do(func() {
 		canceled := !r.stop()
-		if canceled || response.Close || !r.sender.finished() || !r.connection.quiet() {
+		if canceled || response.Close || !r.sender.sentInFull() || !r.connection.reusable() {
 			r.connection.close()
 			return
 		}
@@ -237,8 +237,8 @@
 // readHead reads the head of the next final answer and skips informational (1xx)
 // answers before it.
 func readHead(c *connection, request *http.Request) (*http.Response, error) {
-	c.source.left = maxHead
-	defer func() { c.source.left = math.MaxInt64 }()
+	c.source.remaining = maxHeadBytes
+	defer func() { c.source.remaining = math.MaxInt64 }()
 	for {
 		response, err := c.readResponse(request)
 		if err != nil {
@@ -254,9 +254,9 @@
 	}
 }
 
-// hasLength reports whether a complete answer can be told from one that is cut off by
+// isFramed reports whether a complete answer can be told from one that is cut off by
 // the end of its connection.
-func hasLength(response *http.Response, method string) bool {
+func isFramed(response *http.Response, method string) bool {
 	if response.ContentLength >= 0 || method == http.MethodHead {
 		return true
 	}
--- a/internal/connection/target/fuzz_test.go
+++ b/internal/connection/target/fuzz_test.go
@@ -29,7 +29,7 @@
 // play sends a request to a target that answers with text, and returns the answer that
 // the exchange read.
 func play(form Form, method, text string) (status int, body string, err error) {
-	source := &boundedReader{source: &script{text: strings.NewReader(text)}, left: math.MaxInt64}
+	source := &boundedReader{source: &script{text: strings.NewReader(text)}, remaining: math.MaxInt64}
 	c := &connection{socket: &countingSocket{Conn: source.source.(net.Conn)}, source: source, reader: bufio.NewReader(source)}
 	exchange := &Exchange{pool: NewPoolOf("target", 1, form), connection: c}
 	request := &http.Request{Method: method, URL: &url.URL{Path: "/"}, Host: "target", Header: http.Header{}, ProtoMajor: 1, ProtoMinor: 1}
@@ -174,7 +174,7 @@
 		if len(slices.Compact(slices.Clone(ids))) == 1 && ids[0] == "a" {
 			return status, body, framed || form.Unframed
 		}
-		if !form.SkipStray || method == http.MethodHead || !framed || skipped == maxStray {
+		if !form.SkipStray || method == http.MethodHead || !framed || skipped == maxStrayAnswers {
 			return 0, "", false
 		}
 		skipped++
--- a/internal/connection/target/idle.go
+++ b/internal/connection/target/idle.go
@@ -11,14 +11,14 @@
 	// a target that has stopped.
 	dropsToLearn = 2
 	dropWindow   = 2 * time.Second
-	// learntFor is how long a learned limit stays in force after the last drop.
-	learntFor = 10 * time.Second
-	// safeShare is the learned limit as a share of the shortest idle time after which
+	// learnedLimitLifetime is how long a learned limit stays in force after the last drop.
+	learnedLimitLifetime = 10 * time.Second
+	// safeIdleShare is the learned limit as a share of the shortest idle time after which
 	// a connection was found dropped.
-	safeShare = 0.5
-	// shortestIdle is the smallest limit that is learned. Drops after a shorter idle
+	safeIdleShare = 0.5
+	// minIdleLimit is the smallest limit that is learned. Drops after a shorter idle
 	// time have another cause and are ignored.
-	shortestIdle = 20 * time.Millisecond
+	minIdleLimit = 20 * time.Millisecond
 )
 
 // IdleLimit limits how long a connection may be idle before its next use. The limit is
@@ -28,32 +28,32 @@
 type IdleLimit struct {
 	mu    sync.Mutex
 	limit time.Duration
-	// until is when the limit expires.
-	until time.Time
+	// validUntil is when the limit expires.
+	validUntil time.Time
 	// drops counts the drops in the window that begins at first.
-	drops int
-	first time.Time
+	drops       int
+	windowStart time.Time
 }
 
-// dropped records that a connection was reset at its first use after being idle for
+// recordDrop records that a connection was reset at its first use after being idle for
 // the given time.
-func (l *IdleLimit) dropped(idle time.Duration, now time.Time) {
-	if l == nil || idle < shortestIdle {
+func (l *IdleLimit) recordDrop(idle time.Duration, now time.Time) {
+	if l == nil || idle < minIdleLimit {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.first) > dropWindow {
-		l.first, l.drops = now, 0
+	if now.Sub(l.windowStart) > dropWindow {
+		l.windowStart, l.drops = now, 0
 	}
 	l.drops++
-	safe := max(time.Duration(safeShare*float64(idle)), shortestIdle)
-	if now.After(l.until) {
+	safe := max(time.Duration(safeIdleShare*float64(idle)), minIdleLimit)
+	if now.After(l.validUntil) {
 		l.limit = safe
 	}
 	l.limit = min(l.limit, safe)
 	if l.drops >= dropsToLearn {
-		l.until = now.Add(learntFor)
+		l.validUntil = now.Add(learnedLimitLifetime)
 	}
 }
 
@@ -64,5 +64,5 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.After(l.until) || idle <= l.limit
+	return now.After(l.validUntil) || idle <= l.limit
 }
--- a/internal/connection/target/lanes.go
+++ b/internal/connection/target/lanes.go
@@ -112,14 +112,14 @@
 	if err == nil && n.named && response.StatusCode == http.StatusMisdirectedRequest {
 		// The process has accepted orders as addressed to it before, so this is the
 		// answer to another one.
-		err = errCrossedAnswer
+		err = errMismatchedAnswer
 	}
 	if err != nil {
 		l.reset(n)
 		return 0, nil, err
 	}
 	n.named = n.named || response.StatusCode != http.StatusMisdirectedRequest
-	if response.Close || !n.connection.quiet() {
+	if response.Close || !n.connection.reusable() {
 		l.reset(n)
 		return response.StatusCode, response.Header, nil
 	}
@@ -141,8 +141,8 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	if !hasLength(response, request.Method) {
-		return nil, errIncompleteAnswer
+	if !isFramed(response, request.Method) {
+		return nil, errUnframedAnswer
 	}
 	return response, DiscardOrderBody(response.Body)
 }
@@ -161,7 +161,7 @@
 	if err := n.await(ctx); err != nil {
 		return nil, err
 	}
-	if n.connection != nil && n.connection.quiet() {
+	if n.connection != nil && n.connection.reusable() {
 		return n, nil
 	}
 	l.reset(n)
@@ -184,7 +184,7 @@
 	if err := t.lane.await(ctx); err != nil {
 		return nil, err
 	}
-	if t.lane.connection == t.connection && t.connection.quiet() {
+	if t.lane.connection == t.connection && t.connection.reusable() {
 		return t.lane, nil
 	}
 	if t.lane.connection == t.connection {
@@ -241,7 +241,7 @@
 	if err != nil {
 		return err
 	}
-	connection.socket.dropUndelivered()
+	connection.socket.discardUndeliveredOnClose()
 	l.mu.Lock()
 	n.connection, n.named = connection, false
 	l.mu.Unlock()
--- a/internal/connection/target/pool.go
+++ b/internal/connection/target/pool.go
@@ -25,7 +25,7 @@
 type Pool struct {
 	address string
 	limit   int
-	form    Form
+	options Form
 
 	mu   sync.Mutex
 	idle []*connection
@@ -34,9 +34,9 @@
 	closed bool
 	// warming is set while a goroutine opens connections ahead of demand.
 	warming bool
-	// warmFrom is the earliest time of the next warm-up after a failed one.
-	warmFrom time.Time
-	lost     int
+	// warmAfter is the earliest time of the next warm-up after a failed one.
+	warmAfter time.Time
+	lost      int
 }
 
 // NewPool returns a pool of at most limit connections to a target that implements
@@ -44,8 +44,8 @@
 func NewPool(address string, limit int) *Pool { return NewPoolOf(address, limit, OwnForm) }
 
 // NewPoolOf is like NewPool for a target that is accessed with other settings.
-func NewPoolOf(address string, limit int, form Form) *Pool {
-	return &Pool{address: address, limit: max(limit, 1), form: form}
+func NewPoolOf(address string, limit int, options Form) *Pool {
+	return &Pool{address: address, limit: max(limit, 1), options: options}
 }
 
 // Address returns the address that the pool connects to.
@@ -86,7 +86,7 @@
 	p.CloseStale()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.warming || !p.wantsMore(want) || time.Now().Before(p.warmFrom) {
+	if p.warming || !p.wantsMore(want) || time.Now().Before(p.warmAfter) {
 		return
 	}
 	p.warming = true
@@ -106,7 +106,7 @@
 		}
 		p.mu.Lock()
 		if err != nil {
-			p.warmFrom = time.Now().Add(warmRetryInterval)
+			p.warmAfter = time.Now().Add(warmRetryInterval)
 		}
 		if err != nil || !p.wantsMore(want) {
 			p.warming = false
@@ -147,11 +147,11 @@
 // time of the connection and the count for Lost. The caller holds p.mu.
 func (p *Pool) usable(c *connection) bool {
 	now := time.Now()
-	c.idle = now.Sub(c.idleSince)
-	if c.idle >= p.form.MaxIdle || !p.form.Idle.allows(c.idle, now) {
+	c.idleFor = now.Sub(c.idleSince)
+	if c.idleFor >= p.options.MaxIdle || !p.options.Idle.allows(c.idleFor, now) {
 		return false
 	}
-	if c.quiet() {
+	if c.reusable() {
 		return true
 	}
 	p.lost++
@@ -162,7 +162,7 @@
 // is none. Connections that can no longer be used are closed.
 func (p *Pool) takeIdle() *connection {
 	p.mu.Lock()
-	var bad []*connection
+	var stale []*connection
 	var found *connection
 	for found == nil && len(p.idle) > 0 {
 		last := len(p.idle) - 1
@@ -171,11 +171,11 @@
 		if p.usable(c) {
 			found = c
 		} else {
-			bad = append(bad, c)
+			stale = append(stale, c)
 		}
 	}
 	p.mu.Unlock()
-	closeAll(bad)
+	closeAll(stale)
 	return found
 }
 
@@ -185,18 +185,18 @@
 // only before its use.
 func (p *Pool) CloseStale() {
 	p.mu.Lock()
-	var bad []*connection
+	var stale []*connection
 	kept := p.idle[:0]
 	for _, c := range p.idle {
 		if p.usable(c) {
 			kept = append(kept, c)
 		} else {
-			bad = append(bad, c)
+			stale = append(stale, c)
 		}
 	}
 	p.idle = kept
 	p.mu.Unlock()
-	closeAll(bad)
+	closeAll(stale)
 }
 
 func closeAll(connections []*connection) {
@@ -208,11 +208,11 @@
 // put returns a connection to the pool as idle from now on.
 func (p *Pool) put(c *connection) {
 	c.idleSince = time.Now()
-	p.putBack(c)
+	p.addIdle(c)
 }
 
-// putBack adds a connection to the idle ones, or closes it if the pool is closed.
-func (p *Pool) putBack(c *connection) {
+// addIdle adds a connection to the idle ones, or closes it if the pool is closed.
+func (p *Pool) addIdle(c *connection) {
 	p.mu.Lock()
 	if !p.closed {
 		p.idle = append(p.idle, c)
@@ -229,15 +229,15 @@
 	if err := p.claim(); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.form.DialTimeout)
+	ctx, cancel := context.WithTimeout(ctx, p.options.DialTimeout)
 	defer cancel()
-	c, err := dial(ctx, p.address, p.form.DialTimeout)
+	c, err := dial(ctx, p.address, p.options.DialTimeout)
 	if err != nil {
 		p.unclaim()
 		return nil, err
 	}
 	c.onClose = p.unclaim
-	if !p.form.Probe {
+	if !p.options.Probe {
 		return c, nil
 	}
 	if err := c.probe(ctx, p.address); err != nil {
--- a/internal/connection/target/sender.go
+++ b/internal/connection/target/sender.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// finished reports whether the request has been written in full.
-func (s *sender) finished() bool {
+// sentInFull reports whether the request has been written in full.
+func (s *sender) sentInFull() bool {
 	select {
 	case <-s.done:
 		return s.err == nil
@@ -50,9 +50,9 @@
 	}
 }
 
-// unsent returns an error if the write has failed before the kernel accepted any byte
+// unsentError returns an error if the write has failed before the kernel accepted any byte
 // of the request, and nil otherwise.
-func (s *sender) unsent() *ExchangeError {
+func (s *sender) unsentError() *ExchangeError {
 	select {
 	case <-s.done:
 	default:
@@ -67,9 +67,9 @@
 	return &ExchangeError{Defect: Broken, Cause: s.err}
 }
 
-// explain returns the error of an exchange whose answer could not be read because of
+// exchangeError returns the error of an exchange whose answer could not be read because of
 // cause.
-func (s *sender) explain(cause error) *ExchangeError {
+func (s *sender) exchangeError(cause error) *ExchangeError {
 	select {
 	case <-s.done:
 	default:
