--- a/internal/connection/target/lanes.go
+++ b/internal/connection/target/lanes.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// maxLanes limits the connections for grants to one target. More than one is needed
+	// maxGrantConnections limits the connections for grants to one target. More than one is needed
 	// because an unanswered grant blocks its connection until it times out.
-	maxLanes = 4
-	// laneIdle is how long an unused connection stays open. Targets close idle
+	maxGrantConnections = 4
+	// grantIdleTimeout is how long an unused connection stays open. Targets close idle
 	// connections after 10 s.
-	laneIdle = 8 * time.Second
-	// maxOrderReply limits the body of the answer to an order, in bytes.
-	maxOrderReply = 64 << 10
+	grantIdleTimeout = 8 * time.Second
+	// maxOrderReplyBytes limits the body of the answer to an order, in bytes.
+	maxOrderReplyBytes = 64 << 10
 )
 
 // ErrProcessUnknown reports that a grant could not be renewed because the connection
@@ -37,61 +37,61 @@
 type Lanes struct {
 	address     string
 	dialTimeout time.Duration
-	lanes       [maxLanes]lane
+	slots       [maxGrantConnections]connectionSlot
 
 	mu sync.Mutex
-	// taken maps each fence to the connection over which it was granted.
-	taken map[uint64]taken
-	// next is the index of the connection that a grant waited for when last all were in
+	// granted maps each fence to the connection over which it was granted.
+	granted map[uint64]fenceGrant
+	// nextSlot is the index of the connection that a grant waited for when last all were in
 	// use.
-	next int
+	nextSlot int
 }
 
-// lane is a slot for one connection. Only its current holder may use it.
-type lane struct {
-	// turn contains one element while the slot is not in use. Receiving the element
+// connectionSlot is a slot for one connection. Only its current holder may use it.
+type connectionSlot struct {
+	// free contains one element while the slot is not in use. Receiving the element
 	// acquires the slot.
-	turn chan struct{}
+	free chan struct{}
 	// connection is nil if none is open. It changes only while the slot is acquired and
 	// the mutex of the pool is held.
 	connection *connection
-	// named is set once the process has accepted an order as addressed to it, i.e. has
+	// identityConfirmed is set once the process has accepted an order as addressed to it, i.e. has
 	// answered other than with status 421.
-	named bool
-	// idle closes the connection when it has not been used for some time.
-	idle *time.Timer
+	identityConfirmed bool
+	// idleTimer closes the connection when it has not been used for some time.
+	idleTimer *time.Timer
 }
 
-// taken records the connection over which a fence was granted, and the time of its last
+// fenceGrant records the connection over which a fence was granted, and the time of its last
 // grant.
-type taken struct {
-	lane       *lane
+type fenceGrant struct {
+	slot       *connectionSlot
 	connection *connection
-	at         time.Time
+	grantedAt  time.Time
 }
 
 // NewLanes returns a pool of connections to address. They are opened on demand.
 func NewLanes(address string, dialTimeout time.Duration) *Lanes {
-	l := &Lanes{address: address, dialTimeout: dialTimeout, taken: map[uint64]taken{}}
-	for i := range l.lanes {
-		n := &l.lanes[i]
-		n.turn = make(chan struct{}, 1)
-		n.idle = time.AfterFunc(laneIdle, func() { l.closeIdle(n) })
-		n.idle.Stop()
-		n.release()
+	p := &Lanes{address: address, dialTimeout: dialTimeout, granted: map[uint64]fenceGrant{}}
+	for i := range p.slots {
+		slot := &p.slots[i]
+		slot.free = make(chan struct{}, 1)
+		slot.idleTimer = time.AfterFunc(grantIdleTimeout, func() { p.closeIdle(slot) })
+		slot.idleTimer.Stop()
+		slot.release()
 	}
-	return l
+	return p
 }
 
 // Address returns the address of the target.
-func (l *Lanes) Address() string { return l.address }
+func (p *Lanes) Address() string { return p.address }
 
 // Idle reports whether no connection is open or in use.
-func (l *Lanes) Idle() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i := range l.lanes {
-		if l.lanes[i].connection != nil || len(l.lanes[i].turn) == 0 {
+func (p *Lanes) Idle() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i := range p.slots {
+		if p.slots[i].connection != nil || len(p.slots[i].free) == 0 {
 			return false
 		}
 	}
@@ -102,29 +102,29 @@
 // if the fence has been granted before; then the error is ErrProcessUnknown if the
 // connection over which it was granted is closed. If the exchange fails, the connection
 // is reset, so that the grant does not arrive later.
-func (l *Lanes) Do(ctx context.Context, request *http.Request, fence uint64, again bool) (int, http.Header, error) {
-	n, err := l.take(ctx, fence, again)
+func (p *Lanes) Do(ctx context.Context, request *http.Request, fence uint64, renewal bool) (int, http.Header, error) {
+	slot, err := p.acquire(ctx, fence, renewal)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer n.release()
-	response, err := exchange(ctx, n.connection, request)
-	if err == nil && n.named && response.StatusCode == http.StatusMisdirectedRequest {
+	defer slot.release()
+	response, err := exchange(ctx, slot.connection, request)
+	if err == nil && slot.identityConfirmed && response.StatusCode == http.StatusMisdirectedRequest {
 		// The process has accepted orders as addressed to it before, so this is the
 		// answer to another one.
 		err = errMismatchedAnswer
 	}
 	if err != nil {
-		l.reset(n)
+		p.reset(slot)
 		return 0, nil, err
 	}
-	n.named = n.named || response.StatusCode != http.StatusMisdirectedRequest
-	if response.Close || !n.connection.reusable() {
-		l.reset(n)
+	slot.identityConfirmed = slot.identityConfirmed || response.StatusCode != http.StatusMisdirectedRequest
+	if response.Close || !slot.connection.reusable() {
+		p.reset(slot)
 		return response.StatusCode, response.Header, nil
 	}
-	l.note(n, fence)
-	n.idle.Reset(laneIdle)
+	p.recordGrant(slot, fence)
+	slot.idleTimer.Reset(grantIdleTimeout)
 	return response.StatusCode, response.Header, nil
 }
 
@@ -149,80 +149,80 @@
 
 // DiscardOrderBody reads the body of the answer to an order (a grant or a release) to its
 // end. It returns an error if the body is longer than 64 KiB.
-func DiscardOrderBody(body io.Reader) error { return discard(body, maxOrderReply) }
+func DiscardOrderBody(body io.Reader) error { return discard(body, maxOrderReplyBytes) }
 
-// take acquires a slot with an open connection. A renewal gets the one that its fence was
+// acquire acquires a slot with an open connection. A renewal gets the one that its fence was
 // granted over, and any other grant an idle or a new one.
-func (l *Lanes) take(ctx context.Context, fence uint64, again bool) (*lane, error) {
-	if again {
-		return l.takeOf(ctx, fence)
+func (p *Lanes) acquire(ctx context.Context, fence uint64, renewal bool) (*connectionSlot, error) {
+	if renewal {
+		return p.acquireForRenewal(ctx, fence)
 	}
-	n := l.choose()
-	if err := n.await(ctx); err != nil {
+	slot := p.chooseSlot()
+	if err := slot.acquire(ctx); err != nil {
 		return nil, err
 	}
-	if n.connection != nil && n.connection.reusable() {
-		return n, nil
+	if slot.connection != nil && slot.connection.reusable() {
+		return slot, nil
 	}
-	l.reset(n)
-	if err := l.open(ctx, n); err != nil {
-		n.release()
+	p.reset(slot)
+	if err := p.open(ctx, slot); err != nil {
+		slot.release()
 		return nil, err
 	}
-	return n, nil
+	return slot, nil
 }
 
-// takeOf acquires the slot with the connection over which a fence was granted. The error
+// acquireForRenewal acquires the slot with the connection over which a fence was granted. The error
 // is ErrProcessUnknown if that connection is closed.
-func (l *Lanes) takeOf(ctx context.Context, fence uint64) (*lane, error) {
-	l.mu.Lock()
-	t, known := l.taken[fence]
-	l.mu.Unlock()
+func (p *Lanes) acquireForRenewal(ctx context.Context, fence uint64) (*connectionSlot, error) {
+	p.mu.Lock()
+	granted, known := p.granted[fence]
+	p.mu.Unlock()
 	if !known {
 		return nil, ErrProcessUnknown
 	}
-	if err := t.lane.await(ctx); err != nil {
+	if err := granted.slot.acquire(ctx); err != nil {
 		return nil, err
 	}
-	if t.lane.connection == t.connection && t.connection.reusable() {
-		return t.lane, nil
+	if granted.slot.connection == granted.connection && granted.connection.reusable() {
+		return granted.slot, nil
 	}
-	if t.lane.connection == t.connection {
-		l.reset(t.lane)
+	if granted.slot.connection == granted.connection {
+		p.reset(granted.slot)
 	}
-	t.lane.release()
+	granted.slot.release()
 	return nil, ErrProcessUnknown
 }
 
-// choose returns the slot for a new fence without acquiring it. It prefers an unused slot
+// chooseSlot returns the slot for a new fence without acquiring it. It prefers an unused slot
 // with an open connection, then an unused one without a connection, and takes the slots in
 // turn if all are in use.
-func (l *Lanes) choose() *lane {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var empty *lane
-	for i := range l.lanes {
-		n := &l.lanes[i]
+func (p *Lanes) chooseSlot() *connectionSlot {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var empty *connectionSlot
+	for i := range p.slots {
+		slot := &p.slots[i]
 		switch {
-		case len(n.turn) == 0:
-		case n.connection != nil:
-			return n
+		case len(slot.free) == 0:
+		case slot.connection != nil:
+			return slot
 		case empty == nil:
-			empty = n
+			empty = slot
 		}
 	}
 	if empty != nil {
 		return empty
 	}
-	l.next = (l.next + 1) % maxLanes
-	return &l.lanes[l.next]
+	p.nextSlot = (p.nextSlot + 1) % maxGrantConnections
+	return &p.slots[p.nextSlot]
 }
 
-// await acquires the slot, waiting until it is unused or the context ends.
-func (n *lane) await(ctx context.Context) error {
+// acquire acquires the slot, waiting until it is unused or the context ends.
+func (s *connectionSlot) acquire(ctx context.Context) error {
 	select {
-	case <-n.turn:
-		n.idle.Stop()
+	case <-s.free:
+		s.idleTimer.Stop()
 		return nil
 	case <-ctx.Done():
 		return fault.Wrap(ctx.Err(), fault.Unavailable, "try again", "earlier grants to the target are still unanswered")
@@ -230,53 +230,53 @@
 }
 
 // release makes the slot available to others.
-func (n *lane) release() { n.turn <- struct{}{} }
+func (s *connectionSlot) release() { s.free <- struct{}{} }
 
 // open opens a connection in a slot that the caller has acquired. Undelivered grants are
 // discarded when the connection is closed, even by the end of this process.
-func (l *Lanes) open(ctx context.Context, n *lane) error {
-	ctx, cancel := context.WithTimeout(ctx, l.dialTimeout)
+func (p *Lanes) open(ctx context.Context, slot *connectionSlot) error {
+	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
-	connection, err := dial(ctx, l.address, l.dialTimeout)
+	connection, err := dial(ctx, p.address, p.dialTimeout)
 	if err != nil {
 		return err
 	}
 	connection.socket.discardUndeliveredOnClose()
-	l.mu.Lock()
-	n.connection, n.named = connection, false
-	l.mu.Unlock()
+	p.mu.Lock()
+	slot.connection, slot.identityConfirmed = connection, false
+	p.mu.Unlock()
 	return nil
 }
 
-// note records the connection over which a fence was granted. It also removes the fences
+// recordGrant records the connection over which a fence was granted. It also removes the fences
 // that are no longer renewed or whose connection is closed.
-func (l *Lanes) note(n *lane, fence uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *Lanes) recordGrant(slot *connectionSlot, fence uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(l.taken, func(_ uint64, t taken) bool {
-		return t.lane.connection != t.connection || now.Sub(t.at) > laneIdle
+	maps.DeleteFunc(p.granted, func(_ uint64, t fenceGrant) bool {
+		return t.slot.connection != t.connection || now.Sub(t.grantedAt) > grantIdleTimeout
 	})
-	l.taken[fence] = taken{n, n.connection, now}
+	p.granted[fence] = fenceGrant{slot, slot.connection, now}
 }
 
 // closeIdle closes the connection of a slot unless the slot is in use.
-func (l *Lanes) closeIdle(n *lane) {
+func (p *Lanes) closeIdle(slot *connectionSlot) {
 	select {
-	case <-n.turn:
-		l.reset(n)
-		n.release()
+	case <-slot.free:
+		p.reset(slot)
+		slot.release()
 	default:
 	}
 }
 
 // reset resets the connection, if any, of a slot that the caller has acquired.
-func (l *Lanes) reset(n *lane) {
-	if n.connection == nil {
+func (p *Lanes) reset(slot *connectionSlot) {
+	if slot.connection == nil {
 		return
 	}
-	n.connection.socket.reset()
-	l.mu.Lock()
-	n.connection = nil
-	l.mu.Unlock()
+	slot.connection.socket.reset()
+	p.mu.Lock()
+	slot.connection = nil
+	p.mu.Unlock()
 }
