--- a/internal/connection/target/fuzz_test.go
+++ b/internal/connection/target/fuzz_test.go
@@ -16,22 +16,22 @@
 	"time"
 )
 
-// script is a connection to a target that sends a fixed text and closes.
-type script struct {
+// scriptedConn is a connection to a target that sends a fixed text and closes.
+type scriptedConn struct {
 	net.Conn
 	text io.Reader
 }
 
-func (s *script) Read(p []byte) (int, error)  { return s.text.Read(p) }
-func (s *script) Write(p []byte) (int, error) { return len(p), nil }
-func (s *script) Close() error                { return nil }
+func (s *scriptedConn) Read(p []byte) (int, error)  { return s.text.Read(p) }
+func (s *scriptedConn) Write(p []byte) (int, error) { return len(p), nil }
+func (s *scriptedConn) Close() error                { return nil }
 
-// play sends a request to a target that answers with text, and returns the answer that
+// exchangeWith sends a request to a target that answers with text, and returns the answer that
 // the exchange read.
-func play(form Form, method, text string) (status int, body string, err error) {
-	source := &boundedReader{source: &script{text: strings.NewReader(text)}, remaining: math.MaxInt64}
+func exchangeWith(options Form, method, text string) (status int, body string, err error) {
+	source := &boundedReader{source: &scriptedConn{text: strings.NewReader(text)}, remaining: math.MaxInt64}
 	c := &connection{socket: &countingSocket{Conn: source.source.(net.Conn)}, source: source, reader: bufio.NewReader(source)}
-	exchange := &Exchange{pool: NewPoolOf("target", 1, form), connection: c}
+	exchange := &Exchange{pool: NewPoolOf("target", 1, options), connection: c}
 	request := &http.Request{Method: method, URL: &url.URL{Path: "/"}, Host: "target", Header: http.Header{}, ProtoMajor: 1, ProtoMinor: 1}
 	request.Header.Set(HeaderRequestID, "a")
 	answer, err := exchange.Do(context.Background(), request, false)
@@ -43,10 +43,10 @@
 	return answer.Status, string(content), err
 }
 
-// reading is a reference parser of answers by RFC 9112, independent of net/http. text is
+// referenceParser is a reference parser of answers by RFC 9112, independent of net/http. text is
 // what has not been parsed yet. Its methods return false if the text is not a valid and
 // complete answer.
-type reading struct{ text string }
+type referenceParser struct{ text string }
 
 var (
 	referenceStatus = regexp.MustCompile(`^HTTP/1\.([0-9]) +([1-5][0-9]{2})( .*)?$`)
@@ -56,7 +56,7 @@
 )
 
 // line reads one line.
-func (r *reading) line() (string, bool) {
+func (r *referenceParser) line() (string, bool) {
 	line, rest, found := strings.Cut(r.text, "\n")
 	r.text = rest
 	return strings.TrimSuffix(line, "\r"), found
@@ -64,7 +64,7 @@
 
 // headers reads header or trailer lines up to the empty line. The names in the result are
 // in lower case.
-func (r *reading) headers() (map[string][]string, bool) {
+func (r *referenceParser) headers() (map[string][]string, bool) {
 	headers, last := map[string][]string{}, ""
 	for {
 		line, ok := r.line()
@@ -89,7 +89,7 @@
 }
 
 // take reads n bytes.
-func (r *reading) take(n int) (string, bool) {
+func (r *referenceParser) take(n int) (string, bool) {
 	if n < 0 || n > len(r.text) {
 		return "", false
 	}
@@ -99,7 +99,7 @@
 }
 
 // chunks reads a chunked body with its trailers.
-func (r *reading) chunks() (body string, ok bool) {
+func (r *referenceParser) chunks() (body string, ok bool) {
 	for {
 		line, ok := r.line()
 		found := referenceChunk.FindStringSubmatch(line)
@@ -127,7 +127,7 @@
 
 // answer reads one answer. framed is set if its end does not depend on the end of the
 // connection.
-func (r *reading) answer(method string) (status int, ids []string, body string, framed, ok bool) {
+func (r *referenceParser) answer(method string) (status int, ids []string, body string, framed, ok bool) {
 	line, ok := r.line()
 	found := referenceStatus.FindStringSubmatch(line)
 	if !ok || found == nil || referenceGlued.MatchString(line[1:]) {
@@ -161,8 +161,8 @@
 	return status, ids, body, false, true
 }
 
-// own reads the answer to the request and skips informational and stray answers before it.
-func (r *reading) own(form Form, method string) (status int, body string, ok bool) {
+// matchingAnswer reads the answer to the request and skips informational and stray answers before it.
+func (r *referenceParser) matchingAnswer(options Form, method string) (status int, body string, ok bool) {
 	for skipped := 0; ; {
 		status, ids, body, framed, ok := r.answer(method)
 		if !ok || status == http.StatusSwitchingProtocols {
@@ -172,9 +172,9 @@
 			continue
 		}
 		if len(slices.Compact(slices.Clone(ids))) == 1 && ids[0] == "a" {
-			return status, body, framed || form.Unframed
+			return status, body, framed || options.Unframed
 		}
-		if !form.SkipStray || method == http.MethodHead || !framed || skipped == maxStrayAnswers {
+		if !options.SkipStray || method == http.MethodHead || !framed || skipped == maxStrayAnswers {
 			return 0, "", false
 		}
 		skipped++
@@ -184,17 +184,17 @@
 // FuzzAnswer checks that an exchange returns a complete answer only if the reference parser
 // finds the same one, complete and for this request, in the bytes of the target.
 func FuzzAnswer(f *testing.F) {
-	own := HeaderRequestID + ": a\r\n"
+	ownID := HeaderRequestID + ": a\r\n"
 	for _, text := range []string{
-		"HTTP/1.1 200 OK\r\n" + own + "Content-Length: 4\r\n\r\nbody",
-		"HTTP/1.1 200 OK\r\n" + own + "Transfer-Encoding: chunked\r\n\r\n4;e=f\r\nbody\r\n0\r\nT: u\r\n\r\n",
-		"HTTP/1.0 200 OK\r\n" + own + "\r\nbody",
-		"HTTP/1.0 200 OK\r\n" + own + "Transfer-Encoding: chunked\r\n\r\n4\r\nbo",
-		"HTTP/1.1 204 No Content\r\n" + own + "Connection: close\r\n\r\n",
-		"HTTP/1.1 503 Full\r\nChestnutcourse-Not-Run: shed\r\nContent-Length: 4\r\n\r\nfullHTTP/1.1 200 OK\r\n" + own + "Content-Length: 0\r\n\r\n",
-		"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 304 Not Modified\r\n" + own + "Content-Length: 4\r\n\r\n",
-		"HTTP/1.1 503 FullHTTP/1.1 200 OK\r\n" + own + "Content-Length: 4, 4\r\n\r\nbody",
-		"HTTP/2.0 200 OK\r\n" + HeaderRequestID + ": x\r\n" + own + "A: b\r\n c\r\nContent-Length: 0\r\n\r\n",
+		"HTTP/1.1 200 OK\r\n" + ownID + "Content-Length: 4\r\n\r\nbody",
+		"HTTP/1.1 200 OK\r\n" + ownID + "Transfer-Encoding: chunked\r\n\r\n4;e=f\r\nbody\r\n0\r\nT: u\r\n\r\n",
+		"HTTP/1.0 200 OK\r\n" + ownID + "\r\nbody",
+		"HTTP/1.0 200 OK\r\n" + ownID + "Transfer-Encoding: chunked\r\n\r\n4\r\nbo",
+		"HTTP/1.1 204 No Content\r\n" + ownID + "Connection: close\r\n\r\n",
+		"HTTP/1.1 503 Full\r\nChestnutcourse-Not-Run: shed\r\nContent-Length: 4\r\n\r\nfullHTTP/1.1 200 OK\r\n" + ownID + "Content-Length: 0\r\n\r\n",
+		"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 304 Not Modified\r\n" + ownID + "Content-Length: 4\r\n\r\n",
+		"HTTP/1.1 503 FullHTTP/1.1 200 OK\r\n" + ownID + "Content-Length: 4, 4\r\n\r\nbody",
+		"HTTP/2.0 200 OK\r\n" + HeaderRequestID + ": x\r\n" + ownID + "A: b\r\n c\r\nContent-Length: 0\r\n\r\n",
 	} {
 		for _, head := range []bool{false, true} {
 			f.Add(text, head, true)
@@ -209,11 +209,11 @@
 		if head {
 			method = http.MethodHead
 		}
-		status, body, err := play(form, method, text)
+		status, body, err := exchangeWith(form, method, text)
 		if err != nil {
 			return
 		}
-		wantStatus, wantBody, ok := (&reading{text}).own(form, method)
+		wantStatus, wantBody, ok := (&referenceParser{text}).matchingAnswer(form, method)
 		if !ok || status != wantStatus || body != wantBody {
 			t.Fatalf("%s request answered by %q: got status %d and body %q; want %d, %q (valid: %v)", method, text, status, body, wantStatus, wantBody, ok)
 		}
