--- a/internal/connection/target/cut_test.go
+++ b/internal/connection/target/cut_test.go
@@ -18,17 +18,17 @@
 // without a length or chunked encoding may end at any byte.
 func TestCutAnswerNeverLooksWhole(t *testing.T) {
 	for name, c := range map[string]struct{ text, body string }{
-		"length":       {head("a", "Content-Length: 12", "Keep-Alive: timeout=10\r\n\r\n"), "twelve bytes"},
+		"length":       {answerHead("a", "Content-Length: 12", "Keep-Alive: timeout=10\r\n\r\n"), "twelve bytes"},
 		"length first": {"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n" + target.HeaderRequestID + ": a\r\n\r\n", "twelve bytes"},
-		"no content":   {strings.Replace(head("a", "\r\n"), "200 OK", "204 No Content", 1), ""},
-		"not modified": {strings.Replace(head("a", "Content-Length: 12\r\n\r\n"), "200 OK", "304 Not Modified", 1), ""},
-		"closing":      {head("a", "Connection: close", "Content-Length: 12\r\n\r\n"), "twelve bytes"},
-		"old":          {strings.Replace(head("a", "Content-Length: 12\r\n\r\n"), "HTTP/1.1", "HTTP/1.0", 1), "twelve bytes"},
-		"old unframed": {strings.Replace(head("a", "Keep-Alive: timeout=10\r\n\r\n"), "HTTP/1.1", "HTTP/1.0", 1), ""},
-		"HEAD":         {head("a", "Content-Length: 12\r\n\r\n"), ""},
-		"chunked":      {head("a", "Transfer-Encoding: chunked\r\n\r\n"), "6\r\ntwelve\r\n6;e=f\r\n bytes\r\n0\r\nT: u\r\n\r\n"},
-		"unframed":     {head("a", "Keep-Alive: timeout=10\r\n\r\n"), ""},
-		"bare newline": {strings.ReplaceAll(head("a", "Content-Length: 12\r\n\r\n"), "\r", ""), "twelve bytes"},
+		"no content":   {strings.Replace(answerHead("a", "\r\n"), "200 OK", "204 No Content", 1), ""},
+		"not modified": {strings.Replace(answerHead("a", "Content-Length: 12\r\n\r\n"), "200 OK", "304 Not Modified", 1), ""},
+		"closing":      {answerHead("a", "Connection: close", "Content-Length: 12\r\n\r\n"), "twelve bytes"},
+		"old":          {strings.Replace(answerHead("a", "Content-Length: 12\r\n\r\n"), "HTTP/1.1", "HTTP/1.0", 1), "twelve bytes"},
+		"old unframed": {strings.Replace(answerHead("a", "Keep-Alive: timeout=10\r\n\r\n"), "HTTP/1.1", "HTTP/1.0", 1), ""},
+		"HEAD":         {answerHead("a", "Content-Length: 12\r\n\r\n"), ""},
+		"chunked":      {answerHead("a", "Transfer-Encoding: chunked\r\n\r\n"), "6\r\ntwelve\r\n6;e=f\r\n bytes\r\n0\r\nT: u\r\n\r\n"},
+		"unframed":     {answerHead("a", "Keep-Alive: timeout=10\r\n\r\n"), ""},
+		"bare newline": {strings.ReplaceAll(answerHead("a", "Content-Length: 12\r\n\r\n"), "\r", ""), "twelve bytes"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := c.text + c.body
@@ -50,7 +50,7 @@
 				assert.Assert(t, err != nil, "answer cut off after %q was accepted with body %q", sent, body)
 				assert.Assert(t, answer == nil || n >= len(c.text), "head cut off after %q was accepted", sent)
 				if answer == nil {
-					handedWithoutAnswer(t, err)
+					assertSentWithoutAnswer(t, err)
 				}
 			}
 			sent = text
@@ -60,17 +60,17 @@
 	}
 }
 
-// TestStatusThatIsNoneIsNoAnswer checks that invalid status codes are rejected. If one
+// TestInvalidStatusIsRejected checks that invalid status codes are rejected. If one
 // was forwarded, the response to the caller would not be valid HTTP.
-func TestStatusThatIsNoneIsNoAnswer(t *testing.T) {
+func TestInvalidStatusIsRejected(t *testing.T) {
 	for _, status := range []string{"000", "042", "099", "600", "999"} {
 		t.Run(status, func(t *testing.T) {
 			pool := strayPool(t, func(socket *net.TCPConn) {
 				id, _ := readRequest(bufio.NewReader(socket))
-				_, _ = io.WriteString(socket, strings.Replace(whole(id), "200", status, 1))
+				_, _ = io.WriteString(socket, strings.Replace(completeAnswer(id), "200", status, 1))
 			})
 			_, _, err := exchangeOnce(testContext(t), t, pool, newRequest("a", "", ""))
-			handedWithoutAnswer(t, err)
+			assertSentWithoutAnswer(t, err)
 		})
 	}
 }
@@ -92,7 +92,7 @@
 				_, _ = io.WriteString(socket, text)
 			})
 			_, _, err := exchangeOnce(testContext(t), t, pool, newRequest("a", "", ""))
-			handedWithoutAnswer(t, err)
+			assertSentWithoutAnswer(t, err)
 		})
 	}
 }
--- a/internal/connection/target/giveup_test.go
+++ b/internal/connection/target/giveup_test.go
@@ -16,9 +16,9 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/connection/target"
 )
 
-// slowReceiver is the size of the receive buffer of a target that does not read, in
+// receiveBufferBytes is the size of the receive buffer of a target that does not read, in
 // bytes.
-const slowReceiver = 4 << 10
+const receiveBufferBytes = 4 << 10
 
 // TestARequestThatWasGivenUpIsNotDeliveredLater simulates a network partition that heals:
 // the kernel has accepted the whole request, the target receives only a part of it, and
@@ -27,16 +27,16 @@
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, slowReceiver)
+			failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferBytes)
 		})
 		return cmp.Or(err, failed)
 	}}
 	listener, err := config.Listen(testContext(t), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
-	form := target.OwnForm
-	form.Probe = false
-	pool := target.NewPoolOf(listener.Addr().String(), 1, form)
+	options := target.OwnForm
+	options.Probe = false
+	pool := target.NewPoolOf(listener.Addr().String(), 1, options)
 	t.Cleanup(pool.Close)
 	exchange, err := pool.Reserve(testContext(t))
 	assert.NilError(t, err)
--- a/internal/connection/target/glued_test.go
+++ b/internal/connection/target/glued_test.go
@@ -25,18 +25,18 @@
 		"refusal without id":   "HTTP/1.1 421 Misdirected Request\r\nRetry-After: 1\r\nTrailer: T\r\nTransfer-Encoding: chunked\r\n\r\n4;e=f\r\nfull\r\n0\r\nT: u\r\n\r\n",
 		"informational answer": "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n",
 	} {
-		for _, form := range []target.Form{strayForm, target.OwnForm} {
-			form.Probe, form.DialTimeout = false, testTimeout
-			t.Run(fmt.Sprint(name, form.SkipStray), func(t *testing.T) {
+		for _, options := range []target.Form{strayOptions, target.OwnForm} {
+			options.Probe, options.DialTimeout = false, testTimeout
+			t.Run(fmt.Sprint(name, options.SkipStray), func(t *testing.T) {
 				for n := range len(cut) {
 					pool := target.NewPoolOf(rawserver.Listen(t, func(socket *net.TCPConn) {
 						id, _ := readRequest(bufio.NewReader(socket))
-						_, _ = io.WriteString(socket, cut[:n]+whole(id))
-					}), 1, form)
+						_, _ = io.WriteString(socket, cut[:n]+completeAnswer(id))
+					}), 1, options)
 					answer, body, err := exchangeOnce(testContext(t), t, pool, newRequest("a", "", ""))
 					pool.Close()
 					if answer == nil {
-						handedWithoutAnswer(t, err)
+						assertSentWithoutAnswer(t, err)
 						continue
 					}
 					assert.Equal(t, answer.Status, http.StatusOK, "earlier answer cut off after %q", cut[:n])
@@ -53,7 +53,7 @@
 // after any byte is not completed by another answer that follows it.
 func TestCutHeadOfTheAnswerTakesNothingFromTheNext(t *testing.T) {
 	refusal := "HTTP/1.1 503 Service Unavailable\r\n" + target.HeaderNotRun + ": shed\r\n" + target.HeaderRequestID + ": x\r\nContent-Length: 0\r\n\r\n"
-	cut := strings.TrimSuffix(head("a", "Keep-Alive: timeout=10\r\n\r\n"), "\n")
+	cut := strings.TrimSuffix(answerHead("a", "Keep-Alive: timeout=10\r\n\r\n"), "\n")
 	for n := range len(cut) {
 		pool := strayPool(t, func(socket *net.TCPConn) {
 			_, _ = readRequest(bufio.NewReader(socket))
@@ -61,6 +61,6 @@
 		})
 		answer, _, err := exchangeOnce(testContext(t), t, pool, newRequest("a", "", ""))
 		assert.Assert(t, answer == nil, "answer cut off after %q was accepted", cut[:n])
-		handedWithoutAnswer(t, err)
+		assertSentWithoutAnswer(t, err)
 	}
 }
--- a/internal/connection/target/hostile_test.go
+++ b/internal/connection/target/hostile_test.go
@@ -23,14 +23,14 @@
 // maxAllocated limits the memory allocated for an endless answer, in bytes.
 const maxAllocated = 8 << 20
 
-// strayForm holds the pool settings that skip stray answers.
-var strayForm = target.Form{
+// strayOptions holds the pool settings that skip stray answers.
+var strayOptions = target.Form{
 	RequestIDHeader: target.HeaderRequestID, Unframed: true, SkipStray: true, DialTimeout: testTimeout, MaxIdle: testTimeout,
 }
 
 // strayPool returns a pool for a target that serves each connection with serve.
 func strayPool(t *testing.T, serve func(*net.TCPConn)) *target.Pool {
-	pool := target.NewPoolOf(rawserver.Listen(t, serve), 4, strayForm)
+	pool := target.NewPoolOf(rawserver.Listen(t, serve), 4, strayOptions)
 	t.Cleanup(pool.Close)
 	return pool
 }
@@ -45,20 +45,20 @@
 	return request.Header.Get(target.HeaderRequestID), err
 }
 
-// head returns a status line and headers of an answer to the request with an ID. It does
+// answerHead returns a status line and headers of an answer to the request with an ID. It does
 // not add the final line break and the empty line.
-func head(id string, headers ...string) string {
+func answerHead(id string, headers ...string) string {
 	return "HTTP/1.1 200 OK\r\n" + target.HeaderRequestID + ": " + id + "\r\n" + strings.Join(headers, "\r\n")
 }
 
-// whole returns a complete answer to the request with an ID. The body is the ID.
-func whole(id string) string {
-	return head(id, fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(id), id))
+// completeAnswer returns a complete answer to the request with an ID. The body is the ID.
+func completeAnswer(id string) string {
+	return answerHead(id, fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(id), id))
 }
 
-// handedWithoutAnswer asserts that err is that of a request that may have run but has no
+// assertSentWithoutAnswer asserts that err is that of a request that may have run but has no
 // answer.
-func handedWithoutAnswer(t *testing.T, err error) {
+func assertSentWithoutAnswer(t *testing.T, err error) {
 	t.Helper()
 	var failed *target.ExchangeError
 	assert.Assert(t, errors.As(err, &failed) && failed.Handed, "want the error of a request that was sent; got %v", err)
@@ -76,13 +76,13 @@
 		"continuation lines":  {"HTTP/1.1 200 OK\r\nA: b\r\n", " " + line + "\r\n"},
 		"header lines":        {"HTTP/1.1 200 OK\r\n", "A: " + line + "\r\n"},
 		"informational heads": {"", "HTTP/1.1 103 Early Hints\r\nA: " + line + "\r\n\r\n"},
-		"stray answers":       {"", whole("another")},
-		"stray body":          {head("another", "Transfer-Encoding: chunked\r\n\r\n"), "3e8\r\n" + line + "\r\n"},
-		"stray long body":     {head("another", "Content-Length: 1099511627776\r\n\r\n"), line},
-		"stray unframed body": {head("another", "\r\n"), line},
-		"chunk extension":     {head("a", "Transfer-Encoding: chunked\r\n\r\n"), "1;" + line},
-		"chunk extensions":    {head("a", "Transfer-Encoding: chunked\r\n\r\n"), "1;" + line + "\r\nx\r\n"},
-		"trailers":            {head("a", "Transfer-Encoding: chunked\r\n\r\n0\r\n"), "A: " + line + "\r\n"},
+		"stray answers":       {"", completeAnswer("another")},
+		"stray body":          {answerHead("another", "Transfer-Encoding: chunked\r\n\r\n"), "3e8\r\n" + line + "\r\n"},
+		"stray long body":     {answerHead("another", "Content-Length: 1099511627776\r\n\r\n"), line},
+		"stray unframed body": {answerHead("another", "\r\n"), line},
+		"chunk extension":     {answerHead("a", "Transfer-Encoding: chunked\r\n\r\n"), "1;" + line},
+		"chunk extensions":    {answerHead("a", "Transfer-Encoding: chunked\r\n\r\n"), "1;" + line + "\r\nx\r\n"},
+		"trailers":            {answerHead("a", "Transfer-Encoding: chunked\r\n\r\n0\r\n"), "A: " + line + "\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ended := make(chan struct{})
@@ -119,7 +119,7 @@
 	pool := strayPool(t, func(socket *net.TCPConn) {
 		defer close(ended)
 		id, err := readRequest(bufio.NewReader(socket))
-		for text := whole(id); err == nil; text = strings.Repeat("x", 32<<10) {
+		for text := completeAnswer(id); err == nil; text = strings.Repeat("x", 32<<10) {
 			_, err = io.WriteString(socket, text)
 		}
 	})
@@ -137,7 +137,7 @@
 // sends anything on it.
 func TestBytesOnAnIdleConnectionEndIt(t *testing.T) {
 	for name, text := range map[string]string{
-		"garbage": strings.Repeat("x", 32<<10), "heads": "HTTP/1.1 103 Early Hints\r\n\r\n", "an earlier refusal": head("x", "Content-Length: 0\r\n\r\n"),
+		"garbage": strings.Repeat("x", 32<<10), "heads": "HTTP/1.1 103 Early Hints\r\n\r\n", "an earlier refusal": answerHead("x", "Content-Length: 0\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -146,7 +146,7 @@
 				defer close(ended)
 				id, err := readRequest(bufio.NewReader(socket))
 				assert.Check(t, err)
-				_, err = io.WriteString(socket, whole(id))
+				_, err = io.WriteString(socket, completeAnswer(id))
 				time.Sleep(50 * time.Millisecond)
 				for again := []byte(text); err == nil; {
 					_, err = socket.Write(again)
@@ -167,14 +167,14 @@
 // the answer to its probe. They would be read instead of the answer to a request.
 func TestBytesBeyondTheProbeSendNoRequest(t *testing.T) {
 	for name, text := range map[string]string{
-		"doubled":  whole("") + whole(""),
-		"long":     head("", fmt.Sprintf("Content-Length: %d\r\n\r\n", 2<<20), strings.Repeat("x", 2<<20)),
-		"then cut": whole("") + "HTTP/1.1 503 Serv",
+		"doubled":  completeAnswer("") + completeAnswer(""),
+		"long":     answerHead("", fmt.Sprintf("Content-Length: %d\r\n\r\n", 2<<20), strings.Repeat("x", 2<<20)),
+		"then cut": completeAnswer("") + "HTTP/1.1 503 Serv",
 	} {
 		t.Run(name, func(t *testing.T) {
 			requests := make(chan string, 4)
-			form := target.OwnForm
-			form.DialTimeout = testTimeout
+			options := target.OwnForm
+			options.DialTimeout = testTimeout
 			pool := target.NewPoolOf(rawserver.Listen(t, func(socket *net.TCPConn) {
 				in := bufio.NewReader(socket)
 				if _, err := readRequest(in); err != nil {
@@ -184,7 +184,7 @@
 				if id, err := readRequest(in); err == nil {
 					requests <- id
 				}
-			}), 1, form)
+			}), 1, options)
 			t.Cleanup(pool.Close)
 			_, err := pool.Reserve(testContext(t))
 			assert.Assert(t, fault.Is(err, fault.Unavailable), "%v", err)
--- a/internal/connection/target/idle_test.go
+++ b/internal/connection/target/idle_test.go
@@ -15,15 +15,15 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/testutil/rawserver"
 )
 
-// forgetful starts a target that drops connections without notice when they have been idle
+// listenDroppingIdle starts a target that drops connections without notice when they have been idle
 // for longer than limit: it resets them once the next request arrives. It returns the
 // target's address.
-func forgetful(t *testing.T, limit time.Duration) string {
+func listenDroppingIdle(t *testing.T, limit time.Duration) string {
 	t.Helper()
-	return rawserver.Listen(t, func(socket *net.TCPConn) { serveForgetful(socket, limit) })
+	return rawserver.Listen(t, func(socket *net.TCPConn) { serveDroppingIdle(socket, limit) })
 }
 
-func serveForgetful(socket *net.TCPConn, limit time.Duration) {
+func serveDroppingIdle(socket *net.TCPConn, limit time.Duration) {
 	reader := bufio.NewReader(socket)
 	var answered time.Time
 	for ; ; answered = time.Now() {
@@ -47,10 +47,10 @@
 // IdleLimit no longer use connections that were idle for as long, so that no more
 // requests fail.
 func TestIdleTimeIsLearnt(t *testing.T) {
-	const forgets, pause = 100 * time.Millisecond, 150 * time.Millisecond
-	form := target.OwnForm
-	form.Probe, form.Idle = false, &target.IdleLimit{}
-	first, second := target.NewPoolOf(forgetful(t, forgets), 4, form), target.NewPoolOf(forgetful(t, forgets), 4, form)
+	const dropsAfter, pause = 100 * time.Millisecond, 150 * time.Millisecond
+	options := target.OwnForm
+	options.Probe, options.Idle = false, &target.IdleLimit{}
+	first, second := target.NewPoolOf(listenDroppingIdle(t, dropsAfter), 4, options), target.NewPoolOf(listenDroppingIdle(t, dropsAfter), 4, options)
 	defer first.Close()
 	defer second.Close()
 	lost := 0
--- a/internal/connection/target/lanes.go
+++ b/internal/connection/target/lanes.go
@@ -254,8 +254,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(p.granted, func(_ uint64, t fenceGrant) bool {
-		return t.slot.connection != t.connection || now.Sub(t.grantedAt) > grantIdleTimeout
+	maps.DeleteFunc(p.granted, func(_ uint64, grant fenceGrant) bool {
+		return grant.slot.connection != grant.connection || now.Sub(grant.grantedAt) > grantIdleTimeout
 	})
 	p.granted[fence] = fenceGrant{slot, slot.connection, now}
 }
--- a/internal/connection/target/lanes_test.go
+++ b/internal/connection/target/lanes_test.go
@@ -21,27 +21,27 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/connection/target"
 )
 
-// patience is the timeout for grants that must be answered.
-const patience = 10 * time.Second
+// answerTimeout is the timeout for grants that must be answered.
+const answerTimeout = 10 * time.Second
 
-// grantor is a target process that accepts grants and counts them and its connections.
-type grantor struct {
+// grantTarget is a target process that accepts grants and counts them and its connections.
+type grantTarget struct {
 	server              *httptest.Server
 	grants, connections atomic.Int64
-	// silent is the number of next grants that are not answered.
-	silent atomic.Int64
+	// unanswered is the number of next grants that are not answered.
+	unanswered atomic.Int64
 	// closes makes the target close each connection after an answer.
 	closes atomic.Bool
 }
 
-func newGrantor(t *testing.T) *grantor {
-	g := &grantor{}
+func newGrantTarget(t *testing.T) *grantTarget {
+	g := &grantTarget{}
 	g.server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		// The server notices the end of the connection only after the whole request has
 		// been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		g.grants.Add(1)
-		if g.silent.Add(-1) >= 0 {
+		if g.unanswered.Add(-1) >= 0 {
 			<-r.Context().Done()
 		}
 		if g.closes.Load() {
@@ -58,46 +58,46 @@
 	return g
 }
 
-func (g *grantor) address() string { return g.server.Listener.Addr().String() }
+func (g *grantTarget) address() string { return g.server.Listener.Addr().String() }
 
 // grant sends a grant of a fence, a renewal if again is set, with a timeout.
-func grant(t *testing.T, lanes *target.Lanes, fence uint64, again bool, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(t.Context(), within)
+func grant(t *testing.T, pool *target.Lanes, fence uint64, renewal bool, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+lanes.Address()+"/grant", strings.NewReader("{}"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+pool.Address()+"/grant", strings.NewReader("{}"))
 	assert.NilError(t, err)
-	_, _, err = lanes.Do(ctx, request, fence, again)
+	_, _, err = pool.Do(ctx, request, fence, renewal)
 	return err
 }
 
 // TestFenceIsNotSentAgainOverAnotherConnection checks that a grant is not renewed after its
 // connection is closed, because another process may have taken over the address.
 func TestFenceIsNotSentAgainOverAnotherConnection(t *testing.T) {
-	for name, lose := range map[string]func(*grantor, *target.Lanes){
-		"closed by the target": func(g *grantor, _ *target.Lanes) {
+	for name, lose := range map[string]func(*grantTarget, *target.Lanes){
+		"closed by the target": func(g *grantTarget, _ *target.Lanes) {
 			g.server.CloseClientConnections()
 			time.Sleep(20 * time.Millisecond)
 		},
-		"closed with the answer": func(g *grantor, lanes *target.Lanes) {
+		"closed with the answer": func(g *grantTarget, pool *target.Lanes) {
 			g.closes.Store(true)
-			assert.NilError(t, grant(t, lanes, 1, true, patience))
+			assert.NilError(t, grant(t, pool, 1, true, answerTimeout))
 		},
-		"an unanswered grant": func(g *grantor, lanes *target.Lanes) {
-			g.silent.Store(1)
-			assert.Assert(t, grant(t, lanes, 1, true, 50*time.Millisecond) != nil)
+		"an unanswered grant": func(g *grantTarget, pool *target.Lanes) {
+			g.unanswered.Store(1)
+			assert.Assert(t, grant(t, pool, 1, true, 50*time.Millisecond) != nil)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newGrantor(t)
+			g := newGrantTarget(t)
 			lanes := target.NewLanes(g.address(), time.Second)
-			assert.NilError(t, grant(t, lanes, 1, false, patience))
-			assert.NilError(t, grant(t, lanes, 1, true, patience))
+			assert.NilError(t, grant(t, lanes, 1, false, answerTimeout))
+			assert.NilError(t, grant(t, lanes, 1, true, answerTimeout))
 			lose(g, lanes)
 			sent := g.grants.Load()
-			err := grant(t, lanes, 1, true, patience)
+			err := grant(t, lanes, 1, true, answerTimeout)
 			assert.Assert(t, errors.Is(err, target.ErrProcessUnknown), "%v", err)
 			assert.Equal(t, g.grants.Load(), sent)
-			assert.NilError(t, grant(t, lanes, 2, false, patience))
+			assert.NilError(t, grant(t, lanes, 2, false, answerTimeout))
 		})
 	}
 }
@@ -131,37 +131,37 @@
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "the connection must end with a reset; got %v", err)
 }
 
-// TestEachRefusalOfAnotherProcessIsHeard checks that each answer with status 421 is returned
+// TestEachRefusalByAnotherProcessIsReturned checks that each answer with status 421 is returned
 // while the process at the address has not accepted any grant. If one was treated as a lost
 // answer, the keys of the former process would be unavailable for the duration of a grant.
-func TestEachRefusalOfAnotherProcessIsHeard(t *testing.T) {
+func TestEachRefusalByAnotherProcessIsReturned(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
 	defer server.Close()
-	lanes := target.NewLanes(server.Listener.Addr().String(), time.Second)
+	pool := target.NewLanes(server.Listener.Addr().String(), time.Second)
 	for fence := range uint64(3) {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, server.URL+"/grant", strings.NewReader("{}"))
 		assert.NilError(t, err)
-		status, _, err := lanes.Do(t.Context(), request, fence, false)
+		status, _, err := pool.Do(t.Context(), request, fence, false)
 		assert.NilError(t, err)
 		assert.Equal(t, status, http.StatusMisdirectedRequest)
 	}
 }
 
 func TestSilentOrderHoldsUpNoOther(t *testing.T) {
-	g := newGrantor(t)
-	lanes := target.NewLanes(g.address(), time.Second)
-	g.silent.Store(1)
+	g := newGrantTarget(t)
+	pool := target.NewLanes(g.address(), time.Second)
+	g.unanswered.Store(1)
 	lost := make(chan error, 1)
-	go func() { lost <- grant(t, lanes, 1, false, 500*time.Millisecond) }()
+	go func() { lost <- grant(t, pool, 1, false, 500*time.Millisecond) }()
 	for g.grants.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	began := time.Now()
 	for fence := uint64(2); fence < 40; fence++ {
-		assert.NilError(t, grant(t, lanes, fence, false, time.Second))
-		assert.NilError(t, grant(t, lanes, fence, true, time.Second))
+		assert.NilError(t, grant(t, pool, fence, false, time.Second))
+		assert.NilError(t, grant(t, pool, fence, true, time.Second))
 	}
 	assert.Assert(t, time.Since(began) < 400*time.Millisecond)
 	assert.Equal(t, g.connections.Load(), int64(2))
@@ -169,15 +169,15 @@
 }
 
 func TestGrantsAtOnceShareConnections(t *testing.T) {
-	g := newGrantor(t)
-	lanes := target.NewLanes(g.address(), time.Second)
+	g := newGrantTarget(t)
+	pool := target.NewLanes(g.address(), time.Second)
 	results := make(chan error)
 	for fence := range uint64(100) {
-		go func() { results <- grant(t, lanes, fence, false, 5*time.Second) }()
+		go func() { results <- grant(t, pool, fence, false, 5*time.Second) }()
 	}
 	for range 100 {
 		assert.NilError(t, <-results)
 	}
 	assert.Assert(t, g.connections.Load() <= 4, "%d connections were opened", g.connections.Load())
-	assert.Assert(t, !lanes.Idle())
+	assert.Assert(t, !pool.Idle())
 }
--- a/internal/connection/target/stray_test.go
+++ b/internal/connection/target/stray_test.go
@@ -43,11 +43,11 @@
 									return
 								}
 								if !earlier && id != "a" && answered {
-									_, _ = io.WriteString(socket, whole(id))
+									_, _ = io.WriteString(socket, completeAnswer(id))
 									continue
 								}
 								if id == "a" {
-									_, _ = io.WriteString(socket, whole("a")+m.glued)
+									_, _ = io.WriteString(socket, completeAnswer("a")+m.glued)
 									time.Sleep(5 * time.Millisecond)
 									_, _ = io.WriteString(socket, m.idle)
 									continue
@@ -58,7 +58,7 @@
 								if !answered {
 									return
 								}
-								_, _ = io.WriteString(socket, whole(id))
+								_, _ = io.WriteString(socket, completeAnswer(id))
 							}
 						})
 						_, _, err := exchangeOnce(testContext(t), t, pool, newRequest("a", "", ""))
@@ -68,7 +68,7 @@
 						}
 						answer, body, err := exchangeOnce(testContext(t), t, pool, newRequest("b", "", "body"))
 						if !answered {
-							handedWithoutAnswer(t, err)
+							assertSentWithoutAnswer(t, err)
 							return
 						}
 						assert.NilError(t, err)
@@ -87,13 +87,13 @@
 func TestStrayAnswerToAHeadRequestIsNotReadPast(t *testing.T) {
 	pool := strayPool(t, func(socket *net.TCPConn) {
 		id, _ := readRequest(bufio.NewReader(socket))
-		forged := whole(id)
-		_, _ = io.WriteString(socket, head("another", fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(forged), forged)))
+		forged := completeAnswer(id)
+		_, _ = io.WriteString(socket, answerHead("another", fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(forged), forged)))
 	})
 	request := newRequest("a", "", "")
 	request.Method = http.MethodHead
 	_, _, err := exchangeOnce(testContext(t), t, pool, request)
-	handedWithoutAnswer(t, err)
+	assertSentWithoutAnswer(t, err)
 }
 
 // TestAnswerThatNamesTwoRequestsIsNone checks that an answer with two request IDs is rejected,
@@ -102,10 +102,10 @@
 	for _, ids := range [][2]string{{"a", "x"}, {"x", "a"}} {
 		pool := strayPool(t, func(socket *net.TCPConn) {
 			_, _ = readRequest(bufio.NewReader(socket))
-			_, _ = io.WriteString(socket, head(ids[0], target.HeaderRequestID+": "+ids[1], "Content-Length: 1\r\n\r\nb"))
+			_, _ = io.WriteString(socket, answerHead(ids[0], target.HeaderRequestID+": "+ids[1], "Content-Length: 1\r\n\r\nb"))
 		})
 		_, _, err := exchangeOnce(testContext(t), t, pool, newRequest("a", "", ""))
-		handedWithoutAnswer(t, err)
+		assertSentWithoutAnswer(t, err)
 	}
 }
 
@@ -153,7 +153,7 @@
 					if id, err := readRequest(in); err != nil || id != "a" {
 						return
 					}
-					_, _ = io.WriteString(socket, whole("a"))
+					_, _ = io.WriteString(socket, completeAnswer("a"))
 					request, err := http.ReadRequest(in)
 					if err != nil {
 						return
@@ -166,7 +166,7 @@
 					if !early {
 						_, _ = io.WriteString(socket, c.refusal)
 					}
-					_, _ = io.WriteString(socket, whole("b"))
+					_, _ = io.WriteString(socket, completeAnswer("b"))
 					if !strings.Contains(name, "cut") {
 						// Keep the connection open, as targets do.
 						_, _ = readRequest(in)
@@ -179,7 +179,7 @@
 				ctx := testContext(t)
 				answer, err := exchange.Do(ctx, newRequest("b", "", strings.Repeat("body", 100_000)), true)
 				if answer == nil {
-					handedWithoutAnswer(t, err)
+					assertSentWithoutAnswer(t, err)
 					assert.Assert(t, !c.answered, "%v", err)
 					assert.NilError(t, ctx.Err(), "the exchange lasted until its deadline")
 					return
