--- a/internal/connection/target/fuzz_test.go
+++ b/internal/connection/target/fuzz_test.go
@@ -202,18 +202,18 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, text string, head, lenient bool) {
-		form, method := OwnForm, http.MethodPost
+		options, method := OwnForm, http.MethodPost
 		if lenient {
-			form = Form{RequestIDHeader: HeaderRequestID, Unframed: true, SkipStray: true, MaxIdle: time.Second}
+			options = Form{RequestIDHeader: HeaderRequestID, Unframed: true, SkipStray: true, MaxIdle: time.Second}
 		}
 		if head {
 			method = http.MethodHead
 		}
-		status, body, err := exchangeWith(form, method, text)
+		status, body, err := exchangeWith(options, method, text)
 		if err != nil {
 			return
 		}
-		wantStatus, wantBody, ok := (&referenceParser{text}).matchingAnswer(form, method)
+		wantStatus, wantBody, ok := (&referenceParser{text}).matchingAnswer(options, method)
 		if !ok || status != wantStatus || body != wantBody {
 			t.Fatalf("%s request answered by %q: got status %d and body %q; want %d, %q (valid: %v)", method, text, status, body, wantStatus, wantBody, ok)
 		}
--- a/internal/connection/target/lanes_test.go
+++ b/internal/connection/target/lanes_test.go
@@ -89,15 +89,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGrantTarget(t)
-			lanes := target.NewLanes(g.address(), time.Second)
-			assert.NilError(t, grant(t, lanes, 1, false, answerTimeout))
-			assert.NilError(t, grant(t, lanes, 1, true, answerTimeout))
-			lose(g, lanes)
+			pool := target.NewLanes(g.address(), time.Second)
+			assert.NilError(t, grant(t, pool, 1, false, answerTimeout))
+			assert.NilError(t, grant(t, pool, 1, true, answerTimeout))
+			lose(g, pool)
 			sent := g.grants.Load()
-			err := grant(t, lanes, 1, true, answerTimeout)
+			err := grant(t, pool, 1, true, answerTimeout)
 			assert.Assert(t, errors.Is(err, target.ErrProcessUnknown), "%v", err)
 			assert.Equal(t, g.grants.Load(), sent)
-			assert.NilError(t, grant(t, lanes, 2, false, answerTimeout))
+			assert.NilError(t, grant(t, pool, 2, false, answerTimeout))
 		})
 	}
 }
