--- a/internal/connection/target/exchange.go
+++ b/internal/connection/target/exchange.go
@@ -45,15 +45,15 @@
 // ExchangeError is the error of an exchange that brought no answer.
 type ExchangeError struct {
 	Defect Defect
-	// Handed is true if the kernel accepted, or may have accepted, any byte of the
+	// Sent is true if the kernel accepted, or may have accepted, any byte of the
 	// request. If it is false, the target did not run the request.
-	Handed bool
-	Cause  error
+	Sent  bool
+	Cause error
 }
 
 // Error implements error.
 func (e *ExchangeError) Error() string {
-	if !e.Handed {
+	if !e.Sent {
 		return "request was not sent to the target: " + e.Cause.Error()
 	}
 	return "request was sent but its answer was not received: " + e.Cause.Error()
@@ -121,7 +121,7 @@
 		return nil, r.sender.exchangeError(err)
 	}
 	if defect, err := r.validate(response); err != nil {
-		return nil, &ExchangeError{Defect: defect, Handed: true, Cause: err}
+		return nil, &ExchangeError{Defect: defect, Sent: true, Cause: err}
 	}
 	if incarnation := response.Header.Get(HeaderIncarnation); incarnation != "" {
 		r.connection.incarnation = incarnation
--- a/internal/connection/target/exchange_test.go
+++ b/internal/connection/target/exchange_test.go
@@ -113,7 +113,7 @@
 			if !test.headArrives {
 				var failure *target.ExchangeError
 				assert.Assert(t, errors.As(err, &failure))
-				assert.Assert(t, failure.Handed, "an error after the target ran the request must report it as sent")
+				assert.Assert(t, failure.Sent, "an error after the target ran the request must report it as sent")
 			}
 			assert.Equal(t, len(server.Record().Executions), 1)
 			assert.Equal(t, pool.Open(), 0, "the connection must not be reused")
@@ -142,7 +142,7 @@
 	_, _, err := exchangeOnce(ctx, t, pool, late)
 	var failure *target.ExchangeError
 	assert.Assert(t, errors.As(err, &failure))
-	assert.Assert(t, failure.Handed)
+	assert.Assert(t, failure.Sent)
 	assert.Equal(t, pool.Open(), 0)
 	_, body, err := exchangeOnce(testContext(t), t, pool, newRequest("b", "", ""))
 	assert.NilError(t, err)
@@ -249,7 +249,7 @@
 	var failure *target.ExchangeError
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Equal(t, failure.Defect, target.BodyFailed)
-	assert.Assert(t, failure.Handed)
+	assert.Assert(t, failure.Sent)
 	eventually(t, func() bool {
 		executions := server.Record().Executions
 		return len(executions) == 1 && !executions[0].End.IsZero()
--- a/internal/connection/target/giveup_test.go
+++ b/internal/connection/target/giveup_test.go
@@ -49,7 +49,7 @@
 	body := strings.Repeat("x", 64<<10)
 	_, err = exchange.Do(ctx, newRequest("late", "", body), false)
 	var failed *target.ExchangeError
-	assert.Assert(t, errors.As(err, &failed) && failed.Handed, "the kernel had accepted the request: %v", err)
+	assert.Assert(t, errors.As(err, &failed) && failed.Sent, "the kernel had accepted the request: %v", err)
 
 	assert.NilError(t, accepted.SetReadDeadline(time.Now().Add(testTimeout)))
 	received, err := io.ReadAll(accepted)
--- a/internal/connection/target/hostile_test.go
+++ b/internal/connection/target/hostile_test.go
@@ -61,7 +61,7 @@
 func assertSentWithoutAnswer(t *testing.T, err error) {
 	t.Helper()
 	var failed *target.ExchangeError
-	assert.Assert(t, errors.As(err, &failed) && failed.Handed, "want the error of a request that was sent; got %v", err)
+	assert.Assert(t, errors.As(err, &failed) && failed.Sent, "want the error of a request that was sent; got %v", err)
 }
 
 // TestAnswerWithoutEndEndsTheExchange checks that an endless answer ends the exchange soon
--- a/internal/connection/target/sender.go
+++ b/internal/connection/target/sender.go
@@ -75,9 +75,9 @@
 	default:
 		// The request is still being written. How much of it the kernel has accepted
 		// is not known here, so it counts as sent.
-		return &ExchangeError{Defect: Broken, Handed: true, Cause: cause}
+		return &ExchangeError{Defect: Broken, Sent: true, Cause: cause}
 	}
-	failure := &ExchangeError{Defect: Broken, Handed: s.accepted > 0, Cause: cause}
+	failure := &ExchangeError{Defect: Broken, Sent: s.accepted > 0, Cause: cause}
 	if s.bodyFailed {
 		failure.Defect, failure.Cause = BodyFailed, s.err
 	}
--- a/internal/request/dispatch/outcomes.go
+++ b/internal/request/dispatch/outcomes.go
@@ -38,7 +38,7 @@
 // connection, unless part of its body has been consumed.
 func (e *endpoint) failed(ctx context.Context, t *ticket, err error) (result, bool) {
 	var failure *target.ExchangeError
-	if errors.As(err, &failure) && !failure.Handed {
+	if errors.As(err, &failure) && !failure.Sent {
 		e.release(t)
 		if ctx.Err() != nil {
 			return refused(&refusal{reason: contextReason(ctx)}), false
--- a/internal/request/forward/exchange.go
+++ b/internal/request/forward/exchange.go
@@ -217,7 +217,7 @@
 // expired says that the attempt's context had ended.
 func (x *exchange) failureOutcome(err error, expired bool) outcome {
 	var failed *target.ExchangeError
-	sent := !errors.As(err, &failed) || failed.Handed
+	sent := !errors.As(err, &failed) || failed.Sent
 	o := outcome{result: admission.Broken, mayHaveRun: sent, arrived: sent, cause: err}
 	switch {
 	case x.r.Context().Err() != nil:
