--- a/internal/connection/target/exchange.go
+++ b/internal/connection/target/exchange.go
@@ -33,8 +33,8 @@
 const (
 	// Broken means that the connection failed or the context ended.
 	Broken Defect = iota + 1
-	// Crossed means that the answer was for another request.
-	Crossed
+	// Mismatched means that the answer was for another request.
+	Mismatched
 	// Malformed means that the target switched protocols, or that the answer had
 	// neither a length nor chunked encoding.
 	Malformed
@@ -175,7 +175,7 @@
 		return Malformed, errUnexpectedSwitch
 	}
 	if !r.matches(response) {
-		return Crossed, errMismatchedAnswer
+		return Mismatched, errMismatchedAnswer
 	}
 	if !r.pool.options.Unframed && !isFramed(response, r.method) {
 		return Malformed, errUnframedAnswer
