--- a/internal/connection/target/form.go
+++ b/internal/connection/target/form.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Form holds the settings of a Pool: how its targets speak HTTP and the timeouts of
+// PoolOptions holds the settings of a Pool: how its targets speak HTTP and the timeouts of
 // its connections.
-type Form struct {
+type PoolOptions struct {
 	// RequestIDHeader is the name of the header with the request's ID. The target
 	// repeats the header in its answer.
 	RequestIDHeader string
@@ -28,6 +28,6 @@
 }
 
 // OwnForm holds the settings for targets that implement docs/TARGETS.md.
-var OwnForm = Form{
+var OwnForm = PoolOptions{
 	RequestIDHeader: HeaderRequestID, Probe: true, DialTimeout: dialTimeout, MaxIdle: maxIdle,
 }
--- a/internal/connection/target/fuzz_test.go
+++ b/internal/connection/target/fuzz_test.go
@@ -28,7 +28,7 @@
 
 // exchangeWith sends a request to a target that answers with text, and returns the answer that
 // the exchange read.
-func exchangeWith(options Form, method, text string) (status int, body string, err error) {
+func exchangeWith(options PoolOptions, method, text string) (status int, body string, err error) {
 	source := &boundedReader{source: &scriptedConn{text: strings.NewReader(text)}, remaining: math.MaxInt64}
 	c := &connection{socket: &countingSocket{Conn: source.source.(net.Conn)}, source: source, reader: bufio.NewReader(source)}
 	exchange := &Exchange{pool: NewPoolOf("target", 1, options), connection: c}
@@ -162,7 +162,7 @@
 }
 
 // matchingAnswer reads the answer to the request and skips informational and stray answers before it.
-func (r *referenceParser) matchingAnswer(options Form, method string) (status int, body string, ok bool) {
+func (r *referenceParser) matchingAnswer(options PoolOptions, method string) (status int, body string, ok bool) {
 	for skipped := 0; ; {
 		status, ids, body, framed, ok := r.answer(method)
 		if !ok || status == http.StatusSwitchingProtocols {
@@ -204,7 +204,7 @@
 	f.Fuzz(func(t *testing.T, text string, head, lenient bool) {
 		options, method := OwnForm, http.MethodPost
 		if lenient {
-			options = Form{RequestIDHeader: HeaderRequestID, Unframed: true, SkipStray: true, MaxIdle: time.Second}
+			options = PoolOptions{RequestIDHeader: HeaderRequestID, Unframed: true, SkipStray: true, MaxIdle: time.Second}
 		}
 		if head {
 			method = http.MethodHead
--- a/internal/connection/target/hostile_test.go
+++ b/internal/connection/target/hostile_test.go
@@ -24,7 +24,7 @@
 const maxAllocated = 8 << 20
 
 // strayOptions holds the pool settings that skip stray answers.
-var strayOptions = target.Form{
+var strayOptions = target.PoolOptions{
 	RequestIDHeader: target.HeaderRequestID, Unframed: true, SkipStray: true, DialTimeout: testTimeout, MaxIdle: testTimeout,
 }
 
--- a/internal/connection/target/pool.go
+++ b/internal/connection/target/pool.go
@@ -25,7 +25,7 @@
 type Pool struct {
 	address string
 	limit   int
-	options Form
+	options PoolOptions
 
 	mu   sync.Mutex
 	idle []*connection
@@ -44,7 +44,7 @@
 func NewPool(address string, limit int) *Pool { return NewPoolOf(address, limit, OwnForm) }
 
 // NewPoolOf is like NewPool for a target that is accessed with other settings.
-func NewPoolOf(address string, limit int, options Form) *Pool {
+func NewPoolOf(address string, limit int, options PoolOptions) *Pool {
 	return &Pool{address: address, limit: max(limit, 1), options: options}
 }
 
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -148,7 +148,7 @@
 		Publish: g.publish, Observe: g.desk.Observe, Demand: g.desk.Demand, Dial: dial,
 		Repeats: g.desk.Repeats, AdoptRepeats: g.desk.AdoptRepeats, Uptime: uptime, Logger: &g.logger,
 	})
-	g.pools = forward.NewPools(target.Form{
+	g.pools = forward.NewPools(target.PoolOptions{
 		RequestIDHeader: platform.Dialect.RequestIDHeader(), Unframed: true, SkipStray: true,
 		DialTimeout: connectTimeout, MaxIdle: targetIdle,
 	})
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -120,7 +120,7 @@
 	for i, fault := range faults {
 		f.addTarget(t, fmt.Sprintf("t%d", i), fault)
 	}
-	f.pools = forward.NewPools(target.Form{
+	f.pools = forward.NewPools(target.PoolOptions{
 		RequestIDHeader: "Attempt-Id", Unframed: true, SkipStray: true, DialTimeout: eventTimeout, MaxIdle: time.Second,
 	})
 	handler := forward.New(forward.Config{
--- a/internal/request/forward/pools.go
+++ b/internal/request/forward/pools.go
@@ -21,7 +21,7 @@
 
 // Pools holds a pool of connections for each incarnation of a target.
 type Pools struct {
-	form target.Form
+	form target.PoolOptions
 
 	mu    sync.Mutex
 	pools map[fleet.Life]*target.Pool
@@ -30,7 +30,7 @@
 }
 
 // NewPools returns pools whose connections follow the form.
-func NewPools(form target.Form) *Pools {
+func NewPools(form target.PoolOptions) *Pools {
 	return &Pools{form: form, pools: map[fleet.Life]*target.Pool{}, idleLimits: map[string]*target.IdleLimit{}}
 }
 
@@ -66,7 +66,7 @@
 }
 
 // formOf returns the form for the targets of a service. The lock must be held.
-func (p *Pools) formOf(service string) target.Form {
+func (p *Pools) formOf(service string) target.PoolOptions {
 	if p.idleLimits[service] == nil {
 		p.idleLimits[service] = &target.IdleLimit{}
 	}
