--- a/internal/connection/target/form.go
+++ b/internal/connection/target/form.go
@@ -27,7 +27,7 @@
 	Idle *IdleLimit
 }
 
-// OwnForm holds the settings for targets that implement docs/TARGETS.md.
-var OwnForm = PoolOptions{
+// DefaultPoolOptions holds the settings for targets that implement docs/TARGETS.md.
+var DefaultPoolOptions = PoolOptions{
 	RequestIDHeader: HeaderRequestID, Probe: true, DialTimeout: dialTimeout, MaxIdle: maxIdle,
 }
--- a/internal/connection/target/fuzz_test.go
+++ b/internal/connection/target/fuzz_test.go
@@ -202,7 +202,7 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, text string, head, lenient bool) {
-		options, method := OwnForm, http.MethodPost
+		options, method := DefaultPoolOptions, http.MethodPost
 		if lenient {
 			options = PoolOptions{RequestIDHeader: HeaderRequestID, Unframed: true, SkipStray: true, MaxIdle: time.Second}
 		}
--- a/internal/connection/target/giveup_test.go
+++ b/internal/connection/target/giveup_test.go
@@ -34,7 +34,7 @@
 	listener, err := config.Listen(testContext(t), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
-	options := target.OwnForm
+	options := target.DefaultPoolOptions
 	options.Probe = false
 	pool := target.NewPoolOf(listener.Addr().String(), 1, options)
 	t.Cleanup(pool.Close)
--- a/internal/connection/target/glued_test.go
+++ b/internal/connection/target/glued_test.go
@@ -25,7 +25,7 @@
 		"refusal without id":   "HTTP/1.1 421 Misdirected Request\r\nRetry-After: 1\r\nTrailer: T\r\nTransfer-Encoding: chunked\r\n\r\n4;e=f\r\nfull\r\n0\r\nT: u\r\n\r\n",
 		"informational answer": "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n",
 	} {
-		for _, options := range []target.PoolOptions{strayOptions, target.OwnForm} {
+		for _, options := range []target.PoolOptions{strayOptions, target.DefaultPoolOptions} {
 			options.Probe, options.DialTimeout = false, testTimeout
 			t.Run(fmt.Sprint(name, options.SkipStray), func(t *testing.T) {
 				for n := range len(cut) {
--- a/internal/connection/target/hostile_test.go
+++ b/internal/connection/target/hostile_test.go
@@ -173,7 +173,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			requests := make(chan string, 4)
-			options := target.OwnForm
+			options := target.DefaultPoolOptions
 			options.DialTimeout = testTimeout
 			pool := target.NewPoolOf(rawserver.Listen(t, func(socket *net.TCPConn) {
 				in := bufio.NewReader(socket)
--- a/internal/connection/target/idle_test.go
+++ b/internal/connection/target/idle_test.go
@@ -48,7 +48,7 @@
 // requests fail.
 func TestIdleTimeIsLearnt(t *testing.T) {
 	const dropsAfter, pause = 100 * time.Millisecond, 150 * time.Millisecond
-	options := target.OwnForm
+	options := target.DefaultPoolOptions
 	options.Probe, options.Idle = false, &target.IdleLimit{}
 	first, second := target.NewPoolOf(listenDroppingIdle(t, dropsAfter), 4, options), target.NewPoolOf(listenDroppingIdle(t, dropsAfter), 4, options)
 	defer first.Close()
