--- a/internal/connection/target/fuzz_test.go
+++ b/internal/connection/target/fuzz_test.go
@@ -31,7 +31,7 @@
 func exchangeWith(options PoolOptions, method, text string) (status int, body string, err error) {
 	source := &boundedReader{source: &scriptedConn{text: strings.NewReader(text)}, remaining: math.MaxInt64}
 	c := &connection{socket: &countingSocket{Conn: source.source.(net.Conn)}, source: source, reader: bufio.NewReader(source)}
-	exchange := &Exchange{pool: NewPoolOf("target", 1, options), connection: c}
+	exchange := &Exchange{pool: NewPoolWithOptions("target", 1, options), connection: c}
 	request := &http.Request{Method: method, URL: &url.URL{Path: "/"}, Host: "target", Header: http.Header{}, ProtoMajor: 1, ProtoMinor: 1}
 	request.Header.Set(HeaderRequestID, "a")
 	answer, err := exchange.Do(context.Background(), request, false)
--- a/internal/connection/target/giveup_test.go
+++ b/internal/connection/target/giveup_test.go
@@ -36,7 +36,7 @@
 	defer listener.Close()
 	options := target.DefaultPoolOptions
 	options.Probe = false
-	pool := target.NewPoolOf(listener.Addr().String(), 1, options)
+	pool := target.NewPoolWithOptions(listener.Addr().String(), 1, options)
 	t.Cleanup(pool.Close)
 	exchange, err := pool.Reserve(testContext(t))
 	assert.NilError(t, err)
--- a/internal/connection/target/glued_test.go
+++ b/internal/connection/target/glued_test.go
@@ -29,7 +29,7 @@
 			options.Probe, options.DialTimeout = false, testTimeout
 			t.Run(fmt.Sprint(name, options.SkipStray), func(t *testing.T) {
 				for n := range len(cut) {
-					pool := target.NewPoolOf(rawserver.Listen(t, func(socket *net.TCPConn) {
+					pool := target.NewPoolWithOptions(rawserver.Listen(t, func(socket *net.TCPConn) {
 						id, _ := readRequest(bufio.NewReader(socket))
 						_, _ = io.WriteString(socket, cut[:n]+completeAnswer(id))
 					}), 1, options)
--- a/internal/connection/target/hostile_test.go
+++ b/internal/connection/target/hostile_test.go
@@ -30,7 +30,7 @@
 
 // strayPool returns a pool for a target that serves each connection with serve.
 func strayPool(t *testing.T, serve func(*net.TCPConn)) *target.Pool {
-	pool := target.NewPoolOf(rawserver.Listen(t, serve), 4, strayOptions)
+	pool := target.NewPoolWithOptions(rawserver.Listen(t, serve), 4, strayOptions)
 	t.Cleanup(pool.Close)
 	return pool
 }
@@ -175,7 +175,7 @@
 			requests := make(chan string, 4)
 			options := target.DefaultPoolOptions
 			options.DialTimeout = testTimeout
-			pool := target.NewPoolOf(rawserver.Listen(t, func(socket *net.TCPConn) {
+			pool := target.NewPoolWithOptions(rawserver.Listen(t, func(socket *net.TCPConn) {
 				in := bufio.NewReader(socket)
 				if _, err := readRequest(in); err != nil {
 					return
--- a/internal/connection/target/idle_test.go
+++ b/internal/connection/target/idle_test.go
@@ -50,7 +50,7 @@
 	const dropsAfter, pause = 100 * time.Millisecond, 150 * time.Millisecond
 	options := target.DefaultPoolOptions
 	options.Probe, options.Idle = false, &target.IdleLimit{}
-	first, second := target.NewPoolOf(listenDroppingIdle(t, dropsAfter), 4, options), target.NewPoolOf(listenDroppingIdle(t, dropsAfter), 4, options)
+	first, second := target.NewPoolWithOptions(listenDroppingIdle(t, dropsAfter), 4, options), target.NewPoolWithOptions(listenDroppingIdle(t, dropsAfter), 4, options)
 	defer first.Close()
 	defer second.Close()
 	lost := 0
--- a/internal/connection/target/pool.go
+++ b/internal/connection/target/pool.go
@@ -41,10 +41,12 @@
 
 // NewPool returns a pool of at most limit connections to a target that implements
 // docs/TARGETS.md. A limit of 0 or less means 1.
-func NewPool(address string, limit int) *Pool { return NewPoolOf(address, limit, DefaultPoolOptions) }
+func NewPool(address string, limit int) *Pool {
+	return NewPoolWithOptions(address, limit, DefaultPoolOptions)
+}
 
-// NewPoolOf is like NewPool for a target that is accessed with other settings.
-func NewPoolOf(address string, limit int, options PoolOptions) *Pool {
+// NewPoolWithOptions is like NewPool for a target that is accessed with other settings.
+func NewPoolWithOptions(address string, limit int, options PoolOptions) *Pool {
 	return &Pool{address: address, limit: max(limit, 1), options: options}
 }
 
--- a/internal/request/forward/pools.go
+++ b/internal/request/forward/pools.go
@@ -58,7 +58,7 @@
 	p.mu.Lock()
 	pool := p.pools[t.Life]
 	if pool == nil || pool.Address() != t.Address {
-		pool = target.NewPoolOf(t.Address, connectionsPerTarget, p.formOf(t.Service))
+		pool = target.NewPoolWithOptions(t.Address, connectionsPerTarget, p.formOf(t.Service))
 		p.pools[t.Life] = pool
 	}
 	p.mu.Unlock()
