--- a/internal/connection/target/exchange.go
+++ b/internal/connection/target/exchange.go
@@ -116,7 +116,7 @@
 	response, err := r.readMatchingHead(request)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNRESET) {
-			r.pool.options.Idle.recordDrop(r.connection.idleFor, time.Now())
+			r.pool.options.IdleLimit.recordDrop(r.connection.idleFor, time.Now())
 		}
 		return nil, r.sender.exchangeError(err)
 	}
--- a/internal/connection/target/form.go
+++ b/internal/connection/target/form.go
@@ -22,9 +22,9 @@
 	// MaxIdle is how long a connection may be idle before it is closed. It should be
 	// shorter than the idle timeout of the targets.
 	MaxIdle time.Duration
-	// Idle, if not nil, is a learned limit on the idle time. Pools whose targets behave
+	// IdleLimit, if not nil, is a learned limit on the idle time. Pools whose targets behave
 	// alike share it.
-	Idle *IdleLimit
+	IdleLimit *IdleLimit
 }
 
 // DefaultPoolOptions holds the settings for targets that implement docs/TARGETS.md.
--- a/internal/connection/target/idle_test.go
+++ b/internal/connection/target/idle_test.go
@@ -49,7 +49,7 @@
 func TestIdleTimeIsLearnt(t *testing.T) {
 	const dropsAfter, pause = 100 * time.Millisecond, 150 * time.Millisecond
 	options := target.DefaultPoolOptions
-	options.Probe, options.Idle = false, &target.IdleLimit{}
+	options.Probe, options.IdleLimit = false, &target.IdleLimit{}
 	first, second := target.NewPoolWithOptions(listenDroppingIdle(t, dropsAfter), 4, options), target.NewPoolWithOptions(listenDroppingIdle(t, dropsAfter), 4, options)
 	defer first.Close()
 	defer second.Close()
--- a/internal/connection/target/pool.go
+++ b/internal/connection/target/pool.go
@@ -150,7 +150,7 @@
 func (p *Pool) usable(c *connection) bool {
 	now := time.Now()
 	c.idleFor = now.Sub(c.idleSince)
-	if c.idleFor >= p.options.MaxIdle || !p.options.Idle.allows(c.idleFor, now) {
+	if c.idleFor >= p.options.MaxIdle || !p.options.IdleLimit.allows(c.idleFor, now) {
 		return false
 	}
 	if c.reusable() {
--- a/internal/request/forward/pools.go
+++ b/internal/request/forward/pools.go
@@ -71,7 +71,7 @@
 		p.idleLimits[service] = &target.IdleLimit{}
 	}
 	form := p.form
-	form.Idle = p.idleLimits[service]
+	form.IdleLimit = p.idleLimits[service]
 	return form
 }
 
