--- a/internal/connection/target/lanes.go
+++ b/internal/connection/target/lanes.go
@@ -29,12 +29,12 @@
 // the address. Nothing was sent.
 var ErrProcessUnknown = errors.New("the connection over which the fence was granted is closed")
 
-// Lanes is a pool of connections for grants to one target.
+// GrantPool is a pool of connections for grants to one target.
 //
 // It guarantees that a grant is renewed only with the process that accepted it: a
 // connection leads to a single process, and a renewal goes over the connection that
 // carried the first grant of the fence.
-type Lanes struct {
+type GrantPool struct {
 	address     string
 	dialTimeout time.Duration
 	slots       [maxGrantConnections]connectionSlot
@@ -71,8 +71,8 @@
 }
 
 // NewLanes returns a pool of connections to address. They are opened on demand.
-func NewLanes(address string, dialTimeout time.Duration) *Lanes {
-	p := &Lanes{address: address, dialTimeout: dialTimeout, granted: map[uint64]fenceGrant{}}
+func NewLanes(address string, dialTimeout time.Duration) *GrantPool {
+	p := &GrantPool{address: address, dialTimeout: dialTimeout, granted: map[uint64]fenceGrant{}}
 	for i := range p.slots {
 		slot := &p.slots[i]
 		slot.free = make(chan struct{}, 1)
@@ -84,10 +84,10 @@
 }
 
 // Address returns the address of the target.
-func (p *Lanes) Address() string { return p.address }
+func (p *GrantPool) Address() string { return p.address }
 
 // Idle reports whether no connection is open or in use.
-func (p *Lanes) Idle() bool {
+func (p *GrantPool) Idle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.slots {
@@ -102,7 +102,7 @@
 // if the fence has been granted before; then the error is ErrProcessUnknown if the
 // connection over which it was granted is closed. If the exchange fails, the connection
 // is reset, so that the grant does not arrive later.
-func (p *Lanes) Do(ctx context.Context, request *http.Request, fence uint64, renewal bool) (int, http.Header, error) {
+func (p *GrantPool) Do(ctx context.Context, request *http.Request, fence uint64, renewal bool) (int, http.Header, error) {
 	slot, err := p.acquire(ctx, fence, renewal)
 	if err != nil {
 		return 0, nil, err
@@ -153,7 +153,7 @@
 
 // acquire acquires a slot with an open connection. A renewal gets the one that its fence was
 // granted over, and any other grant an idle or a new one.
-func (p *Lanes) acquire(ctx context.Context, fence uint64, renewal bool) (*connectionSlot, error) {
+func (p *GrantPool) acquire(ctx context.Context, fence uint64, renewal bool) (*connectionSlot, error) {
 	if renewal {
 		return p.acquireForRenewal(ctx, fence)
 	}
@@ -174,7 +174,7 @@
 
 // acquireForRenewal acquires the slot with the connection over which a fence was granted. The error
 // is ErrProcessUnknown if that connection is closed.
-func (p *Lanes) acquireForRenewal(ctx context.Context, fence uint64) (*connectionSlot, error) {
+func (p *GrantPool) acquireForRenewal(ctx context.Context, fence uint64) (*connectionSlot, error) {
 	p.mu.Lock()
 	granted, known := p.granted[fence]
 	p.mu.Unlock()
@@ -197,7 +197,7 @@
 // chooseSlot returns the slot for a new fence without acquiring it. It prefers an unused slot
 // with an open connection, then an unused one without a connection, and takes the slots in
 // turn if all are in use.
-func (p *Lanes) chooseSlot() *connectionSlot {
+func (p *GrantPool) chooseSlot() *connectionSlot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var empty *connectionSlot
@@ -234,7 +234,7 @@
 
 // open opens a connection in a slot that the caller has acquired. Undelivered grants are
 // discarded when the connection is closed, even by the end of this process.
-func (p *Lanes) open(ctx context.Context, slot *connectionSlot) error {
+func (p *GrantPool) open(ctx context.Context, slot *connectionSlot) error {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
 	connection, err := dial(ctx, p.address, p.dialTimeout)
@@ -250,7 +250,7 @@
 
 // recordGrant records the connection over which a fence was granted. It also removes the fences
 // that are no longer renewed or whose connection is closed.
-func (p *Lanes) recordGrant(slot *connectionSlot, fence uint64) {
+func (p *GrantPool) recordGrant(slot *connectionSlot, fence uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -261,7 +261,7 @@
 }
 
 // closeIdle closes the connection of a slot unless the slot is in use.
-func (p *Lanes) closeIdle(slot *connectionSlot) {
+func (p *GrantPool) closeIdle(slot *connectionSlot) {
 	select {
 	case <-slot.free:
 		p.reset(slot)
@@ -271,7 +271,7 @@
 }
 
 // reset resets the connection, if any, of a slot that the caller has acquired.
-func (p *Lanes) reset(slot *connectionSlot) {
+func (p *GrantPool) reset(slot *connectionSlot) {
 	if slot.connection == nil {
 		return
 	}
--- a/internal/connection/target/lanes_test.go
+++ b/internal/connection/target/lanes_test.go
@@ -61,7 +61,7 @@
 func (g *grantTarget) address() string { return g.server.Listener.Addr().String() }
 
 // grant sends a grant of a fence, a renewal if again is set, with a timeout.
-func grant(t *testing.T, pool *target.Lanes, fence uint64, renewal bool, timeout time.Duration) error {
+func grant(t *testing.T, pool *target.GrantPool, fence uint64, renewal bool, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+pool.Address()+"/grant", strings.NewReader("{}"))
@@ -73,16 +73,16 @@
 // TestFenceIsNotSentAgainOverAnotherConnection checks that a grant is not renewed after its
 // connection is closed, because another process may have taken over the address.
 func TestFenceIsNotSentAgainOverAnotherConnection(t *testing.T) {
-	for name, lose := range map[string]func(*grantTarget, *target.Lanes){
-		"closed by the target": func(g *grantTarget, _ *target.Lanes) {
+	for name, lose := range map[string]func(*grantTarget, *target.GrantPool){
+		"closed by the target": func(g *grantTarget, _ *target.GrantPool) {
 			g.server.CloseClientConnections()
 			time.Sleep(20 * time.Millisecond)
 		},
-		"closed with the answer": func(g *grantTarget, pool *target.Lanes) {
+		"closed with the answer": func(g *grantTarget, pool *target.GrantPool) {
 			g.closes.Store(true)
 			assert.NilError(t, grant(t, pool, 1, true, answerTimeout))
 		},
-		"an unanswered grant": func(g *grantTarget, pool *target.Lanes) {
+		"an unanswered grant": func(g *grantTarget, pool *target.GrantPool) {
 			g.unanswered.Store(1)
 			assert.Assert(t, grant(t, pool, 1, true, 50*time.Millisecond) != nil)
 		},
