--- a/internal/connection/target/lanes.go
+++ b/internal/connection/target/lanes.go
@@ -70,8 +70,8 @@
 	grantedAt  time.Time
 }
 
-// NewLanes returns a pool of connections to address. They are opened on demand.
-func NewLanes(address string, dialTimeout time.Duration) *GrantPool {
+// NewGrantPool returns a pool of connections to address. They are opened on demand.
+func NewGrantPool(address string, dialTimeout time.Duration) *GrantPool {
 	p := &GrantPool{address: address, dialTimeout: dialTimeout, granted: map[uint64]fenceGrant{}}
 	for i := range p.slots {
 		slot := &p.slots[i]
--- a/internal/connection/target/lanes_test.go
+++ b/internal/connection/target/lanes_test.go
@@ -89,7 +89,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGrantTarget(t)
-			pool := target.NewLanes(g.address(), time.Second)
+			pool := target.NewGrantPool(g.address(), time.Second)
 			assert.NilError(t, grant(t, pool, 1, false, answerTimeout))
 			assert.NilError(t, grant(t, pool, 1, true, answerTimeout))
 			lose(g, pool)
@@ -108,7 +108,7 @@
 func TestGrantsEndWithTheirSender(t *testing.T) {
 	const addressVariable = "GRANT_TO"
 	if address := os.Getenv(addressVariable); address != "" {
-		t.Log(grant(t, target.NewLanes(address, time.Second), 1, false, time.Minute))
+		t.Log(grant(t, target.NewGrantPool(address, time.Second), 1, false, time.Minute))
 		return
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,7 +139,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
 	defer server.Close()
-	pool := target.NewLanes(server.Listener.Addr().String(), time.Second)
+	pool := target.NewGrantPool(server.Listener.Addr().String(), time.Second)
 	for fence := range uint64(3) {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, server.URL+"/grant", strings.NewReader("{}"))
 		assert.NilError(t, err)
@@ -151,7 +151,7 @@
 
 func TestSilentOrderHoldsUpNoOther(t *testing.T) {
 	g := newGrantTarget(t)
-	pool := target.NewLanes(g.address(), time.Second)
+	pool := target.NewGrantPool(g.address(), time.Second)
 	g.unanswered.Store(1)
 	lost := make(chan error, 1)
 	go func() { lost <- grant(t, pool, 1, false, 500*time.Millisecond) }()
@@ -170,7 +170,7 @@
 
 func TestGrantsAtOnceShareConnections(t *testing.T) {
 	g := newGrantTarget(t)
-	pool := target.NewLanes(g.address(), time.Second)
+	pool := target.NewGrantPool(g.address(), time.Second)
 	results := make(chan error)
 	for fence := range uint64(100) {
 		go func() { results <- grant(t, pool, fence, false, 5*time.Second) }()
