--- a/internal/connection/target/connection.go
+++ b/internal/connection/target/connection.go
@@ -25,7 +25,7 @@
 	// accepted it, so the value is valid for as long as the connection works.
 	incarnation string
 	idleSince   time.Time
-	// idleFor is how long the connection was idleFor before its current use; 0 for a
+	// idleFor is how long the connection was idle before its current use; 0 for a
 	// new connection.
 	idleFor   time.Duration
 	closeOnce sync.Once
--- a/internal/connection/target/form.go
+++ b/internal/connection/target/form.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// PoolOptions holds the settings of a Pool: how its targets speak HTTP and the timeouts of
-// its connections.
+// PoolOptions holds the settings of a Pool: how its target speaks HTTP and the timeouts
+// of its connections.
 type PoolOptions struct {
 	// RequestIDHeader is the name of the header with the request's ID. The target
 	// repeats the header in its answer.
@@ -22,8 +22,8 @@
 	// MaxIdle is how long a connection may be idle before it is closed. It should be
 	// shorter than the idle timeout of the targets.
 	MaxIdle time.Duration
-	// IdleLimit, if not nil, is a learned limit on the idle time. Pools whose targets behave
-	// alike share it.
+	// IdleLimit, if not nil, is a learned limit on the idle time. Pools whose targets
+	// behave alike share it.
 	IdleLimit *IdleLimit
 }
 
--- a/internal/connection/target/fuzz_test.go
+++ b/internal/connection/target/fuzz_test.go
@@ -26,8 +26,8 @@
 func (s *scriptedConn) Write(p []byte) (int, error) { return len(p), nil }
 func (s *scriptedConn) Close() error                { return nil }
 
-// exchangeWith sends a request to a target that answers with text, and returns the answer that
-// the exchange read.
+// exchangeWith sends a request to a target that answers with text, and returns the answer
+// that the exchange read.
 func exchangeWith(options PoolOptions, method, text string) (status int, body string, err error) {
 	source := &boundedReader{source: &scriptedConn{text: strings.NewReader(text)}, remaining: math.MaxInt64}
 	c := &connection{socket: &countingSocket{Conn: source.source.(net.Conn)}, source: source, reader: bufio.NewReader(source)}
@@ -43,9 +43,8 @@
 	return answer.Status, string(content), err
 }
 
-// referenceParser is a reference parser of answers by RFC 9112, independent of net/http. text is
-// what has not been parsed yet. Its methods return false if the text is not a valid and
-// complete answer.
+// referenceParser parses answers by RFC 9112, independently of net/http. text is what has
+// not been parsed yet. The methods return false if the text is not valid and complete.
 type referenceParser struct{ text string }
 
 var (
@@ -161,7 +160,8 @@
 	return status, ids, body, false, true
 }
 
-// matchingAnswer reads the answer to the request and skips informational and stray answers before it.
+// matchingAnswer reads the answer to the request and skips informational and stray answers
+// before it.
 func (r *referenceParser) matchingAnswer(options PoolOptions, method string) (status int, body string, ok bool) {
 	for skipped := 0; ; {
 		status, ids, body, framed, ok := r.answer(method)
--- a/internal/connection/target/idle.go
+++ b/internal/connection/target/idle.go
@@ -30,7 +30,7 @@
 	limit time.Duration
 	// validUntil is when the limit expires.
 	validUntil time.Time
-	// drops counts the drops in the window that begins at first.
+	// drops counts the drops since windowStart.
 	drops       int
 	windowStart time.Time
 }
--- a/internal/connection/target/idle_test.go
+++ b/internal/connection/target/idle_test.go
@@ -15,9 +15,9 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/testutil/rawserver"
 )
 
-// listenDroppingIdle starts a target that drops connections without notice when they have been idle
-// for longer than limit: it resets them once the next request arrives. It returns the
-// target's address.
+// listenDroppingIdle starts a target that drops connections without notice when they have
+// been idle for longer than limit: it resets them once the next request arrives. It
+// returns the target's address.
 func listenDroppingIdle(t *testing.T, limit time.Duration) string {
 	t.Helper()
 	return rawserver.Listen(t, func(socket *net.TCPConn) { serveDroppingIdle(socket, limit) })
--- a/internal/connection/target/lanes.go
+++ b/internal/connection/target/lanes.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// maxGrantConnections limits the connections for grants to one target. More than one is needed
-	// because an unanswered grant blocks its connection until it times out.
+	// maxGrantConnections limits the connections for grants to one target. More than
+	// one is needed because an unanswered grant blocks its connection until it times
+	// out.
 	maxGrantConnections = 4
 	// grantIdleTimeout is how long an unused connection stays open. Targets close idle
 	// connections after 10 s.
@@ -42,8 +43,7 @@
 	mu sync.Mutex
 	// granted maps each fence to the connection over which it was granted.
 	granted map[uint64]fenceGrant
-	// nextSlot is the index of the connection that a grant waited for when last all were in
-	// use.
+	// nextSlot is the index of the slot that was last chosen while all were in use.
 	nextSlot int
 }
 
@@ -53,17 +53,17 @@
 	// acquires the slot.
 	free chan struct{}
 	// connection is nil if none is open. It changes only while the slot is acquired and
-	// the mutex of the pool is held.
+	// GrantPool.mu is held.
 	connection *connection
-	// identityConfirmed is set once the process has accepted an order as addressed to it, i.e. has
-	// answered other than with status 421.
+	// identityConfirmed is set once the process has accepted an order as addressed to
+	// it, i.e. has answered other than with status 421.
 	identityConfirmed bool
 	// idleTimer closes the connection when it has not been used for some time.
 	idleTimer *time.Timer
 }
 
-// fenceGrant records the connection over which a fence was granted, and the time of its last
-// grant.
+// fenceGrant records the connection over which a fence was granted, and the time of its
+// last grant or renewal.
 type fenceGrant struct {
 	slot       *connectionSlot
 	connection *connection
@@ -98,10 +98,10 @@
 	return true
 }
 
-// Do sends a grant and returns the status and the headers of the answer. again is true
-// if the fence has been granted before; then the error is ErrProcessUnknown if the
-// connection over which it was granted is closed. If the exchange fails, the connection
-// is reset, so that the grant does not arrive later.
+// Do sends a grant of a fence and returns the status and the headers of the answer.
+// renewal is true if the fence has been granted before; the error is ErrProcessUnknown if
+// the connection over which it was granted is closed. If the exchange fails, the
+// connection is reset, so that the grant does not arrive later.
 func (p *GrantPool) Do(ctx context.Context, request *http.Request, fence uint64, renewal bool) (int, http.Header, error) {
 	slot, err := p.acquire(ctx, fence, renewal)
 	if err != nil {
@@ -151,8 +151,8 @@
 // end. It returns an error if the body is longer than 64 KiB.
 func DiscardOrderBody(body io.Reader) error { return discard(body, maxOrderReplyBytes) }
 
-// acquire acquires a slot with an open connection. A renewal gets the one that its fence was
-// granted over, and any other grant an idle or a new one.
+// acquire acquires a slot with an open connection. A renewal gets the connection over
+// which its fence was granted, any other grant gets an idle or a new one.
 func (p *GrantPool) acquire(ctx context.Context, fence uint64, renewal bool) (*connectionSlot, error) {
 	if renewal {
 		return p.acquireForRenewal(ctx, fence)
@@ -172,8 +172,8 @@
 	return slot, nil
 }
 
-// acquireForRenewal acquires the slot with the connection over which a fence was granted. The error
-// is ErrProcessUnknown if that connection is closed.
+// acquireForRenewal acquires the slot with the connection over which a fence was
+// granted. The error is ErrProcessUnknown if that connection is closed.
 func (p *GrantPool) acquireForRenewal(ctx context.Context, fence uint64) (*connectionSlot, error) {
 	p.mu.Lock()
 	granted, known := p.granted[fence]
@@ -194,9 +194,9 @@
 	return nil, ErrProcessUnknown
 }
 
-// chooseSlot returns the slot for a new fence without acquiring it. It prefers an unused slot
-// with an open connection, then an unused one without a connection, and takes the slots in
-// turn if all are in use.
+// chooseSlot returns the slot for a new fence without acquiring it. It prefers an unused
+// slot with an open connection, then an unused one without a connection. If all are in
+// use, it chooses them in rotation.
 func (p *GrantPool) chooseSlot() *connectionSlot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// recordGrant records the connection over which a fence was granted. It also removes the fences
-// that are no longer renewed or whose connection is closed.
+// recordGrant records the connection over which a fence was granted. It also removes the
+// fences that are no longer renewed or whose connection is closed.
 func (p *GrantPool) recordGrant(slot *connectionSlot, fence uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connection/target/lanes_test.go
+++ b/internal/connection/target/lanes_test.go
@@ -60,7 +60,7 @@
 
 func (g *grantTarget) address() string { return g.server.Listener.Addr().String() }
 
-// grant sends a grant of a fence, a renewal if again is set, with a timeout.
+// grant sends a grant or renewal of a fence with a timeout.
 func grant(t *testing.T, pool *target.GrantPool, fence uint64, renewal bool, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
--- a/internal/connection/target/pool.go
+++ b/internal/connection/target/pool.go
@@ -20,8 +20,8 @@
 
 // Pool holds the connections for requests to one target. It never exceeds its limit
 // of open connections and opens them in advance on Warm. It hands out only
-// connections that have no unread bytes and, if they are probed, only after the
-// probe has succeeded.
+// connections that have no unread bytes and, if PoolOptions.Probe is set, have been
+// probed for the target's incarnation.
 type Pool struct {
 	address string
 	limit   int
@@ -45,7 +45,7 @@
 	return NewPoolWithOptions(address, limit, DefaultPoolOptions)
 }
 
-// NewPoolWithOptions is like NewPool for a target that is accessed with other settings.
+// NewPoolWithOptions is like NewPool but with other options than DefaultPoolOptions.
 func NewPoolWithOptions(address string, limit int, options PoolOptions) *Pool {
 	return &Pool{address: address, limit: max(limit, 1), options: options}
 }
