--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -1,14 +1,14 @@
-// Package coordinator finds the leader of the VMs and does its work: it watches
-// what is declared, decides who owns which keys, gives the keys to the targets,
-// and passes all of it on to the other VMs.
+// Package coordinator elects a leader among the VMs and does the leader's work:
+// it watches the declarations in the store, assigns keys to targets, grants the
+// targets leases on their keys, and replicates all of this to the other VMs.
 //
-// Guarantees: the leader is named by one record in the store, changed only by
-// conditional writes that also carry the owners of all keys; a move is written
-// before it begins, so that no leader undoes the move of another; a leader
-// renews grants only while it is known to be the leader; targets check fences,
-// which rise with every move, and no fence reaches two processes.
+// Guarantees: one record in the store names the leader. It is changed only by
+// conditional writes, which also carry the owners of all keys. A move is written
+// to the record before it begins, so that no leader undoes a move of another. A
+// leader renews grants only while its leadership is confirmed. Targets check
+// fences, which rise with every move, and no fence reaches two processes.
 //
-// Everything but calls runs on the loop.
+// All state belongs to the loop; only blocking calls run outside it.
 package coordinator
 
 import (
@@ -28,91 +28,112 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/keyspace"
 )
 
-// tickEvery is the interval at which the coordinator looks at what depends on time.
+// tickEvery is the interval at which the coordinator checks its timeouts.
 const tickEvery = 50 * time.Millisecond
 
-// Targets carries out orders. Errors are of the kinds NotFound (no process listens
-// there), Refused (another process than the target is at its address; it has taken
-// nothing), UnknownOutcome and Unavailable.
+// Targets sends orders to targets. Errors are of the kinds NotFound (no process
+// listens at the address), Refused (a process other than the target listens there
+// and did not apply the order), UnknownOutcome and Unavailable.
 type Targets interface {
-	// Grant gives a slice to a target, or renews it. again is set if the fence has
-	// been sent before; then it is sent only to the process that took it. An error of
-	// kind Conflict means that a higher fence is needed: the process has seen one, or,
-	// if it is target.ErrProcessUnknown, it is not known to be the same.
+	// Grant grants a slice to a target, or renews the grant, for the duration hold.
+	// again is set if the fence has been sent before; then it is sent only to the
+	// process that accepted it. An error of kind Conflict means that a higher fence is
+	// needed: the process has seen a higher one, or, if the error is
+	// target.ErrProcessUnknown, it may not be the process that accepted this one.
 	Grant(ctx context.Context, to fleet.Target, slice fleet.Slice, again bool, hold time.Duration, handover string) error
+	// Release takes a slice back from a target. It returns the target's handover
+	// data, which goes to the next owner with its grant.
 	Release(ctx context.Context, from fleet.Target, slice fleet.Slice) (handover string, err error)
 }
 
 // Config configures a Coordinator.
 type Config struct {
 	Self fleet.Member
-	// RecordName is the store object that holds the record.
+	// RecordName is the name of the store object that holds the leader record.
 	RecordName string
 	Names      observer.Names
 	Loop       *loop.Loop
 	Store      store.Store
 	Sender     peer.ControlSender
 	Targets    Targets
-	// LongestHold is the longest grant that targets accept.
+	// LongestHold is the longest duration of a grant that targets accept.
 	LongestHold time.Duration
-	// LinkRate is what the VM's link carries, in bytes a second; 0 if it is not known.
+	// LinkRate is the bandwidth of the VM's link in bytes per second; 0 if unknown.
 	LinkRate float64
-	// Publish receives every new view; it runs on the loop.
+	// Publish receives every new view. It is called on the loop.
 	Publish func(*fleet.View)
-	// Observe returns what the own broker has measured of a target.
+	// Observe returns this VM's broker's measurements of a target; ok is false if
+	// there are none.
 	Observe func(service, target string) (admission.Observation, bool)
-	// Dial opens and closes a connection to an address.
+	// Dial opens a connection to an address and closes it.
 	Dial func(ctx context.Context, address string) error
-	// Demand hands out the own broker's measured demand for keys of a service.
+	// Demand calls use with the demand for the keys of a service that this VM's
+	// broker has measured.
 	Demand func(service string, now time.Time, use func(*keyspace.Load))
-	// Repeats returns the use of the own broker's budgets; AdoptRepeats counts what
-	// the former leader's broker had let run when it was last heard.
+	// Repeats returns the retry-budget counters of this VM's broker, by service.
+	// AdoptRepeats takes over the counters of the former leader's broker; heard is
+	// the time of its last heartbeat.
 	Repeats      func(now time.Time) map[string]admission.RepeatCount
 	AdoptRepeats func(counts map[string]admission.RepeatCount, heard time.Time)
-	// Uptime is the time since the VM's start, with the time for which it was
-	// suspended.
+	// Uptime returns the time since the VM's start, including time suspended.
 	Uptime func() time.Duration
 	Logger *zerolog.Logger
 }
 
-// Coordinator is one VM's part in the coordination.
+// Coordinator runs on every VM, as the leader or as a follower.
 type Coordinator struct {
 	config   Config
 	ctx      context.Context
 	view     *fleet.View
 	observer *observer.Observer
 
-	// Following: what is known of the leader.
+	// The following fields are a follower's state.
+
 	startedAt time.Time
-	heardAt   time.Time
-	// heardLast is heardAt for readers outside the loop; nil if never.
+	// heardAt is when the last heartbeat of the leader arrived. A new leader gets
+	// a value in the recent past, so that it has time to send its first one.
+	heardAt time.Time
+	// heardLast is the arrival of the last heartbeat for readers outside the loop;
+	// nil before the first one.
 	heardLast atomic.Pointer[time.Time]
-	// repeats are the leader's counts when it was last heard.
-	repeats  []*peerv1.ServiceRepeats
+	// repeats are the retry-budget counters in the leader's last heartbeat.
+	repeats []*peerv1.ServiceRepeats
+	// reportAt is when the next report to the leader is due.
 	reportAt time.Time
+	// yielding is set if the leader has asked in its last heartbeat that this VM
+	// take over.
 	yielding bool
-	// lacksStore is set if the leader yields only because it has lost the store;
-	// storeFailedAt is when this VM last had no answer of it.
+	// lacksStore is set if the leader has lost the store and is not shutting down.
+	// storeFailedAt is when the store last failed to answer this VM.
 	lacksStore    bool
 	storeFailedAt time.Time
-	have          *peerv1.PartVersions
-	lookAt        time.Time
-	// heardMillis is the leader's time of the last state that was taken from it; 0 if none was.
+	// have are the versions of the parts of the leader's state that this VM has.
+	have *peerv1.PartVersions
+	// lookAt is when the next check of the leader record is due; zero while
+	// heartbeats arrive.
+	lookAt time.Time
+	// heardMillis is the leader's uptime in milliseconds in its last heartbeat; 0 if
+	// there was none.
 	heardMillis uint64
-	// heardWrite is the leader's last write of the record by its own word.
+	// heardWrite is the number of the leader's last write of the record, as of its
+	// last heartbeat.
 	heardWrite uint64
 	// seenRevision is the record's revision when it was last read, seenSince when
 	// it was first read at that revision.
 	seenRevision int64
 	seenSince    time.Time
-	lookPause    time.Duration
-	looking      bool
-
-	lead    *leadership
+	// lookPause is the pause before the next check of the record.
+	lookPause time.Duration
+	// looking is set while a check of the record or a takeover is in flight.
+	looking bool
+
+	// lead is the leader's state; nil on a follower.
+	lead *leadership
+	// leaving is set once this VM is shutting down.
 	leaving bool
 }
 
-// New returns a coordinator that starts with Start.
+// New returns a coordinator that does nothing until Start is called.
 func New(config Config) *Coordinator {
 	c := &Coordinator{config: config, view: &fleet.View{}, have: &peerv1.PartVersions{}, lookPause: lookMin}
 	c.observer = observer.New(observer.Config{
@@ -122,7 +143,7 @@
 	return c
 }
 
-// Start begins the work; it ends with the context.
+// Start starts the coordinator. It runs until the context is canceled.
 func (c *Coordinator) Start(ctx context.Context) {
 	c.ctx = ctx
 	c.config.Loop.Post(func() {
@@ -134,7 +155,8 @@
 	c.config.Loop.Every(ctx, tickEvery, c.tick)
 }
 
-// Leave begins the end of this VM: a leader asks the others to take over.
+// Leave notes that this VM is shutting down. A leader asks the others to take over;
+// a follower no longer becomes the leader.
 func (c *Coordinator) Leave() {
 	c.leaving = true
 	if c.lead != nil {
@@ -145,14 +167,14 @@
 // Leads reports whether this VM is the leader.
 func (c *Coordinator) Leads() bool { return c.lead != nil }
 
-// HearsLeader reports whether the leader has been heard lately. It may be
-// called from any goroutine.
+// HearsLeader reports whether a heartbeat of the leader has arrived within the
+// heartbeat timeout. It may be called from any goroutine.
 func (c *Coordinator) HearsLeader() bool {
 	at := c.heardLast.Load()
 	return at != nil && time.Since(*at) < silentAfter
 }
 
-// tick does what depends on time.
+// tick checks the timeouts of a leader or of a follower.
 func (c *Coordinator) tick() {
 	now := time.Now()
 	if c.lead != nil {
@@ -162,7 +184,7 @@
 	c.followTick(now)
 }
 
-// declarationsChanged is called when the observer has learnt something.
+// declarationsChanged is called when the observer has read new declarations.
 func (c *Coordinator) declarationsChanged() {
 	if c.lead != nil {
 		c.lead.declarationsChanged = true
@@ -172,15 +194,15 @@
 	c.publishObserved()
 }
 
-// storeContact notes the result of a call to the store.
+// storeContact records on a leader whether a call to the store was answered.
 func (c *Coordinator) storeContact(err error) {
 	if c.lead != nil {
 		c.lead.storeContact(err, time.Now())
 	}
 }
 
-// publishObserved builds a view from the own watches, on a VM that does not
-// hear a leader.
+// publishObserved publishes a view built from this VM's own watches of the store,
+// on a VM that receives no heartbeats.
 func (c *Coordinator) publishObserved() {
 	view := *c.view
 	if config := c.observer.Config(); config != nil && (view.Config == nil || config.Version > view.Config.Version) {
@@ -188,7 +210,7 @@
 	}
 	if c.observer.Complete() {
 		view.Targets, view.Evacuated = c.observer.Targets(), c.observer.Evacuated()
-		// A difference to the leader's last list no longer fits.
+		// A diff against the leader's last list no longer applies.
 		c.have.Targets = 0
 	}
 	c.publish(&view)
@@ -199,8 +221,8 @@
 	c.config.Publish(view)
 }
 
-// Handle takes a message of another VM. It reports whether the message was for
-// the coordinator.
+// Handle processes a message from another VM. It returns the reply, or nil, and
+// reports whether the message was for the coordinator.
 func (c *Coordinator) Handle(from peer.Peer, message *peerv1.Control) (*peerv1.Control, bool) {
 	switch kind := message.Kind.(type) {
 	case *peerv1.Control_MemberReport:
--- a/internal/process/coordinator/election.go
+++ b/internal/process/coordinator/election.go
@@ -9,70 +9,74 @@
 )
 
 const (
-	// silentAfter is the time without a word of the leader after which a VM looks
-	// for another: three heartbeats.
+	// silentAfter is the time without a heartbeat of the leader after which a VM
+	// checks whether to take over: three heartbeats.
 	silentAfter = 800 * time.Millisecond
-	// aloneAfter is the time for which the record stays as it is after which a VM
-	// that hears nobody takes over: a leader that reaches the store writes it
-	// every 0.6 s.
+	// aloneAfter is the time without a change of the record after which a VM that
+	// no other VM answers takes over. A leader that reaches the store writes the
+	// record every 0.6 s.
 	aloneAfter = 3500 * time.Millisecond
-	// staleAfter is the same if other VMs do not hear the leader either: two of its
-	// writes are missing.
+	// staleAfter is the same time if other VMs answer and most of them receive no
+	// heartbeats either: two writes of the leader are missing.
 	staleAfter = 1300 * time.Millisecond
-	// storeBackGrace is the time after the return of the store to a VM in which a
-	// leader that had lost it too is expected to find it again: a write that
-	// hangs, and the pause after it.
+	// storeBackGrace is the time after the store's return to a VM within which a
+	// leader that had lost the store too should reach it again: the timeout of a
+	// write that hangs, and the pause after it.
 	storeBackGrace = 2 * time.Second
-	// hearingShare is the part, one in so many, of the VMs that answer which has to
-	// hear a leader for it to stay.
+	// hearingShare is n in "1/n": a leader stays if at least one in n of the VMs
+	// that answer receives its heartbeats.
 	hearingShare = 3
-	// rankStep spreads the first VMs that look for a leader, so that one is done
-	// before the next reads the store; lateStep spreads those after firstRanks.
+	// rankStep is the delay between VMs of successive ranks that check the record,
+	// so that one has taken over before the next reads the store. lateStep is the
+	// delay between those ranked after the first firstRanks.
 	rankStep   = 40 * time.Millisecond
 	lateStep   = 10 * time.Millisecond
 	firstRanks = 10
-	// smallDelay is how much later a VM looks that others outrank: time for
-	// several of those to look first.
+	// smallDelay is the additional delay of a VM that another outranks, so that
+	// several of the larger VMs can try first.
 	smallDelay = 500 * time.Millisecond
-	// outrankedBy is how much more processor another VM has to have, at least, for
-	// it to lead instead.
+	// outrankedBy is the factor by which another VM's share of a processor has to be
+	// larger, at least, for that VM to lead instead.
 	outrankedBy = 2
-	// settledAfter is how long a VM must have followed before the lead is left to it.
+	// settledAfter is how long a larger VM must have followed, and this VM led,
+	// before the leadership is handed over to it.
 	settledAfter = 3 * time.Second
-	// startSpread and startSmall bound the delay of a VM that knows no others.
+	// startSpread bounds the delay of a VM that knows no others, spread by its name;
+	// startSmall bounds its additional delay if it has less than a whole core.
 	startSpread = 100 * time.Millisecond
 	startSmall  = 200 * time.Millisecond
-	// lookMin and lookMax bound the pause between two reads of the record.
+	// lookMin and lookMax bound the backoff between two checks of the record. lookMax
+	// also bounds the read itself.
 	lookMin = 150 * time.Millisecond
 	lookMax = 900 * time.Millisecond
 )
 
-// evidence is what a VM knows about a leader that it does not hear.
+// evidence is what a VM knows about a leader whose heartbeats are missing.
 type evidence struct {
-	// ended is set if the leader's process is gone: another incarnation answers in
-	// its place (replaced), or its port is closed by the word of VMs near it.
+	// ended is set if the leader's process has ended: another incarnation answers at
+	// its address (replaced), or VMs in its failure domain found its port closed.
 	ended, replaced bool
-	// yielding is set if the leader has said that it is stopping or cannot
-	// reach the store.
+	// yielding is set if the leader has asked this VM to take over: it is shutting
+	// down, cannot reach the store, or is outranked.
 	yielding bool
-	// storeBack is set if the leader yields for want of the store alone and this
-	// VM has been without it until lately.
+	// storeBack is set if the leader yields only because it lost the store, and this
+	// VM has itself regained the store within storeBackGrace.
 	storeBack bool
-	// known counts the other VMs. Of those asked, some answered, and of these some
-	// are deaf: they do not hear the leader either. dead are those whose port
-	// refused the question.
+	// known counts the other VMs; asked, those that were queried; answered, those
+	// of them that answered; deaf, those of them that receive no heartbeats of the
+	// leader either. dead counts the queried VMs whose port refused the connection.
 	known, asked, answered, deaf, dead int
-	// silentFor is how long the leader has not been heard.
+	// silentFor is the time since the leader's last heartbeat.
 	silentFor time.Duration
-	// written is set if the leader has written the record since it was heard.
+	// written is set if the leader has written the record since its last heartbeat.
 	written bool
-	// unchangedFor is how long the record has been seen unchanged.
+	// unchangedFor is how long this VM has read the record at the same revision.
 	unchangedFor time.Duration
 }
 
-// mayTakeOver decides whether a VM that has read an unchanged record becomes
-// the leader. A leader that only a part of the VMs cannot hear is left in place:
-// VMs that are cut off together must not take the lead from the others.
+// mayTakeOver decides whether a VM becomes the leader, and returns the reason. A
+// leader that only some of the VMs cannot hear from stays in place: VMs that are
+// partitioned off together must not take the leadership away from the others.
 func mayTakeOver(e evidence) (bool, string) {
 	hearing := e.answered - e.deaf
 	switch {
@@ -94,9 +98,9 @@
 	return false, "too-early"
 }
 
-// voters is the number of VMs, with this one, of which most must not hear the
-// leader. VMs whose port refuses questions count as lost together with the
-// leader, unless that writes the record: then it is this VM that is cut off.
+// voters is the number of VMs, including this one, of which a majority must have
+// lost the leader. VMs whose port refuses connections count as lost together with
+// the leader, unless the leader writes the record: then this VM is partitioned off.
 func (e *evidence) voters() int {
 	if e.written {
 		return e.asked + 1
@@ -104,9 +108,9 @@
 	return e.asked - e.dead + 1
 }
 
-// rankDelay is how long a VM waits before it looks for a new leader. A leader
-// takes the reports of all VMs and gives out all permits, so those with more
-// processor come first; equal ones are in an order that changes with the term.
+// rankDelay is how long a VM waits before it checks whether to take over. A leader
+// handles the reports of all VMs and issues all permits, so VMs with more processor
+// come first; the order among equal VMs changes with the term.
 func rankDelay(self fleet.Member, view *fleet.View) time.Duration {
 	if len(view.Members) <= 1 {
 		return startDelay(self)
@@ -128,14 +132,14 @@
 	return delay
 }
 
-// startDelay is rankDelay for a VM that knows no others yet.
+// startDelay is the delay of a VM that knows no others yet.
 func startDelay(self fleet.Member) time.Duration {
 	share := min(float64(self.Processor)/fleet.WholeCore, 1)
 	spread := float64(xxh3.HashString(self.VM)%10) / 10
 	return time.Duration(spread*float64(startSpread) + (1-share)*float64(startSmall))
 }
 
-// ranksBefore reports whether one VM looks for a leader before another.
+// ranksBefore reports whether VM a tries to take over before VM b.
 func ranksBefore(a, b fleet.Member, term uint64) bool {
 	if a.Processor != b.Processor {
 		return a.Processor > b.Processor
@@ -144,13 +148,14 @@
 	return first < second || first == second && a.VM < b.VM
 }
 
-// outranks reports whether a VM should lead rather than another.
+// outranks reports whether VM a is so much larger than VM b that it should lead
+// instead.
 func outranks(a, b fleet.Member) bool {
 	return a.Processor > 0 && a.Processor >= outrankedBy*b.Processor
 }
 
-// isOutranked reports whether the lead is to be left to a VM that can do more and
-// has followed for a while.
+// isOutranked reports whether a larger VM, which has followed for a while and still
+// reports, should take over.
 func (l *leadership) isOutranked(now time.Time) bool {
 	if now.Sub(l.since) < settledAfter {
 		return false
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -10,26 +10,30 @@
 )
 
 const (
-	// authority is how long a leader acts after it was last known to be the one:
-	// by the store, or by a majority of the other VMs.
+	// authority is how long a leader may act after its leadership was last confirmed
+	// by the store or by a majority of the VMs.
 	authority = 2 * time.Second
-	// touchEvery is the interval at which the leader writes the record if nothing
-	// else does, so that it learns of another leader, others see it alive, and it
-	// knows whether the store answers; watches are quiet for minutes.
+	// touchEvery is the interval at which the leader writes an otherwise unchanged
+	// record. It thus learns of another leader, shows the others that it is alive,
+	// and finds out whether the store answers, even if no watch event arrives for
+	// minutes.
 	touchEvery = 600 * time.Millisecond
-	// touchRetry is the pause after a touch that failed.
+	// touchRetry is the pause after such a write failed.
 	touchRetry = 300 * time.Millisecond
-	// stall is the time without a tick after which this VM counts as having been
-	// stopped. Until it has heard anew for afterStall that it leads, it sends no
-	// orders: what waits in its connections is from before.
+	// stall is the time without a tick after which the process counts as having been
+	// suspended. It then sends no orders for afterStall, and only once its leadership
+	// is confirmed again: messages that wait in its connections predate the
+	// suspension.
 	stall      = 600 * time.Millisecond
 	afterStall = 300 * time.Millisecond
-	// storeLostAfter is the time without an answer of the store after which the
-	// leader asks for another.
+	// storeLostAfter is the time without an answer from the store after which the
+	// leader asks the others to take over.
 	storeLostAfter = 1200 * time.Millisecond
-	// memberGone is the time after which a VM that does not report is forgotten.
+	// memberGone is the time without a report after which a VM is removed from the
+	// members.
 	memberGone = 4 * time.Second
-	// pushPause gathers changes of the declarations before they are passed on.
+	// pushPause is how long changes of the declarations are collected before they are
+	// sent to the other VMs.
 	pushPause = 20 * time.Millisecond
 	// writeTimeout bounds a write of the record.
 	writeTimeout = 1500 * time.Millisecond
@@ -42,51 +46,65 @@
 	record   fleet.Record
 	revision int64
 	keeper   *leaseTable
-	// orders is the context of the orders to targets; stop ends it.
+	// orders is the context of the orders to targets; stop cancels it.
 	orders  context.Context
 	stop    context.CancelFunc
 	members map[string]*member
 	parts   *parts
 
-	// confirmedAt is the uptime at which the store last showed that this VM leads.
+	// confirmedAt is the uptime at which the last write of the record that succeeded
+	// was begun; it confirmed the leadership.
 	confirmedAt time.Duration
 	// confirmedMembers is the number of other VMs at that time.
 	confirmedMembers int
-	touchAt          time.Time
-	// tickedAt and stalledAt are the uptimes of the last tick and of the last
-	// tick that came much too late.
+	// touchAt is when the record is to be written again, even if unchanged.
+	touchAt time.Time
+	// tickedAt is the uptime of the last tick; stalledAt is that of the last tick after
+	// a suspension, or 0.
 	tickedAt, stalledAt time.Duration
-	// outdoneAt is the uptime at which a target last showed the fence of a later leader.
+	// outdoneAt is the uptime at which a target last refused a grant with a higher
+	// fence, which a later leader must have issued; 0 if never.
 	outdoneAt time.Duration
 	// since is when the leadership began.
 	since time.Time
-	// superseded is set once no former leader can act any more.
+	// superseded is set once a majority follows this leader or the former leader has
+	// ended. No former leader can then act for longer than its remaining authority.
 	superseded bool
 
-	// repeats are the counts of the own broker as of repeatsAt.
+	// repeats are the retry-budget counters of this VM's broker as of repeatsAt.
 	repeats   []*peerv1.ServiceRepeats
 	repeatsAt time.Time
 
+	// storeHeardAt is when the store last answered; storeLost is set if that was too
+	// long ago.
 	storeHeardAt time.Time
 	storeLost    bool
-	// outranked is set while the lead is left to a VM that can do more.
+	// outranked is set while a larger VM is asked to take over.
 	outranked bool
 
-	// confirming are the targets of which it is being found out whether they have ended.
+	// confirming are the targets for which a check whether they have ended is in
+	// flight.
 	confirming map[fleet.Life]bool
 
+	// declarationsChanged is set if there are declarations to publish.
 	declarationsChanged bool
-	// slicesPending is set while a publication of the owners of keys is posted.
+	// slicesPending is set while publishing the owners of keys waits on the loop.
 	slicesPending bool
-	// pushAt is when pending changes are passed on; zero if there are none.
-	pushAt  time.Time
+	// pushAt is when pending changes are sent to the other VMs; zero if there are
+	// none.
+	pushAt time.Time
+	// writing is set while a write of the record is in flight.
 	writing bool
-	// writes numbers the writes of the record, also those that failed.
-	writes         uint64
+	// writes is the number of writes of the record, including failed ones.
+	writes uint64
+	// planAt is when moves of keys are planned next; tidyAt is when adjacent slices
+	// are merged next.
 	planAt, tidyAt time.Time
 }
 
-// takeOver writes this VM into the record and leads if that succeeds.
+// takeOver writes this VM into the record as the leader of the next term, and starts
+// to lead if the write succeeds. formerEnded is set if the former leader's process is
+// known to have ended.
 func (c *Coordinator) takeOver(former *fleet.Record, revision int64, why string, formerEnded bool) {
 	record := *former
 	record.Term++
@@ -113,7 +131,8 @@
 }
 
 // newLeadership returns the state of a leader that has just been written into the
-// record, which gives it fences. formerEnded is set if no former leader can act any more.
+// record; given are the fences that this write reserved. formerEnded is set if no
+// former leader can act any more.
 func newLeadership(record fleet.Record, revision int64, given fenceRange, formerEnded bool, view *fleet.View, hold time.Duration, now time.Time) *leadership {
 	l := &leadership{
 		record: record, revision: revision, writes: record.Write, keeper: newLeaseTable(record.Slices, given, hold),
@@ -134,7 +153,7 @@
 	return l
 }
 
-// beginLeading starts the leader's work.
+// beginLeading starts the leader's work after a takeover.
 func (c *Coordinator) beginLeading(why string, former *fleet.Record) {
 	l := c.lead
 	events.LeadershipTaken.Log(c.config.Logger).Uint64("term", l.record.Term).Int64("revision", l.revision).
@@ -143,7 +162,7 @@
 		c.observer.Seed(c.view)
 		c.observer.Start(c.ctx, c.storeFailedAt)
 	}
-	// The own view goes its own ways from here on.
+	// The follower's lists become the base of the diffs that this leader sends.
 	l.parts.adoptLists(c.view, c.have)
 	c.have = &peerv1.PartVersions{}
 	l.keeper.adoptReady(c.view.Slices, time.Now())
@@ -158,8 +177,8 @@
 	c.pushAll()
 }
 
-// stepDown ends the leadership. What is under way to targets must not reach them after
-// the next leader's orders.
+// stepDown ends the leadership. It cancels orders in flight, which must not reach
+// targets after orders of the next leader.
 func (c *Coordinator) stepDown(why string) {
 	if c.lead == nil {
 		return
@@ -173,7 +192,7 @@
 	c.yielding = false
 }
 
-// leadTick does the leader's work that depends on time.
+// leadTick checks a leader's timeouts and does the work that is due.
 func (c *Coordinator) leadTick(now time.Time) {
 	l := c.lead
 	c.noteStall()
@@ -195,7 +214,8 @@
 	c.manageKeys(now)
 }
 
-// publishDeclared passes on what the watches have brought.
+// publishDeclared publishes the declarations that the watches have read, and sends
+// them to the other VMs.
 func (c *Coordinator) publishDeclared(now time.Time) {
 	l := c.lead
 	view := *c.view
@@ -214,7 +234,7 @@
 	c.pushWithin(pushPause)
 }
 
-// noteLives notes targets that have started again.
+// noteLives notes owners and former owners of slices that have restarted.
 func (c *Coordinator) noteLives(targets map[string]*fleet.Target, now time.Time) {
 	k := c.lead.keeper
 	started := map[fleet.Life]fleet.Life{}
--- a/internal/process/coordinator/member.go
+++ b/internal/process/coordinator/member.go
@@ -17,22 +17,24 @@
 )
 
 const (
-	// reportEvery is the interval of a VM's reports to the leader; each is
-	// answered, so that both hear of each other.
+	// reportEvery is the interval of a VM's reports to the leader. The leader answers
+	// each with a heartbeat.
 	reportEvery = 250 * time.Millisecond
-	// largeFleet is the number of VMs above which reports are half as frequent.
+	// largeFleet is the number of VMs above which reports are half as frequent and
+	// details are sent less often.
 	largeFleet = 40
-	// askTimeout bounds the question to another VM whether it hears the leader.
+	// askTimeout bounds a query to another VM.
 	askTimeout = 250 * time.Millisecond
-	// askCount is the number of VMs that are asked: enough that a part of the VMs
-	// that is cut off from the others does not take itself for all.
+	// askCount is the number of VMs that are asked whether they hear from the leader:
+	// enough that VMs partitioned off together do not count as a majority.
 	askCount = 9
-	// watchAfter is the time without a word of the leader after which a VM
-	// watches the store itself.
+	// watchAfter is the time without a heartbeat after which a VM watches the store
+	// itself.
 	watchAfter = 2 * time.Second
 )
 
-// followTick reports to the leader, and looks for another if it is silent.
+// followTick reports to the leader, and checks whether to take over if its heartbeats
+// are missing or it has asked for that.
 func (c *Coordinator) followTick(now time.Time) {
 	if c.view.Leader.VM != "" && !now.Before(c.reportAt) {
 		c.report(now)
@@ -61,7 +63,7 @@
 	}
 }
 
-// report tells the leader of this VM and what it knows.
+// report sends the leader this VM's properties and the versions that it has.
 func (c *Coordinator) report(now time.Time) {
 	c.reportAt = now.Add(c.reportInterval())
 	c.config.Sender.Send(c.view.Leader.VM, &peerv1.Control{Kind: &peerv1.Control_MemberReport{MemberReport: &peerv1.MemberReport{
@@ -77,7 +79,7 @@
 	return reportEvery
 }
 
-// handleState takes in what the leader sent.
+// handleState processes a heartbeat of the leader, which may carry parts of its state.
 func (c *Coordinator) handleState(from peer.Peer, state *peerv1.FleetState) {
 	now := time.Now()
 	if state.Term < c.view.Term || state.Leader == nil {
@@ -111,14 +113,15 @@
 	}
 }
 
-// heard notes a word of the leader.
+// heard records the arrival of a heartbeat.
 func (c *Coordinator) heard(now time.Time) {
 	c.heardAt = now
 	c.heardLast.Store(&now)
 }
 
-// takeParts takes in the parts that a state carries. What does not fit to what
-// this VM has is sent again, since the next report says what it has.
+// takeParts applies the parts that a heartbeat carries to the view. A diff against a
+// version that this VM does not have is ignored; the leader sends the part again,
+// because the next report contains the versions that the VM has.
 func (c *Coordinator) takeParts(view *fleet.View, state *peerv1.FleetState, now time.Time) {
 	if state.Config != nil {
 		c.takeConfig(view, state)
@@ -128,7 +131,8 @@
 		c.have.Targets = state.Versions.Targets
 		view.Targets, view.Evacuated = applyTargets(targets, baseOf(state.Targets, view.Targets), now)
 		if state.Targets.Base == 0 {
-			// The leader waits for the report before it sends more.
+			// The leader sends owners of keys, and whole lists to other VMs, only
+			// after this report.
 			c.reportAt = now
 		}
 	}
@@ -143,19 +147,20 @@
 	}
 }
 
-// takeList reads a list that is whole, or a difference to what this VM has.
+// takeList decodes a list. It reports false if there is none, if it cannot be decoded,
+// or if it is a diff against a version other than have.
 func (c *Coordinator) takeList(part *peerv1.Part, have uint64, list proto.Message) bool {
 	if part == nil || part.Base != 0 && part.Base != have {
 		return false
 	}
 	if err := decodePart(part, list); err != nil {
-		c.config.Logger.Warn().Err(err).Msg("the leader's state cannot be read")
+		c.config.Logger.Warn().Err(err).Msg("cannot decode a list in the leader's heartbeat")
 		return false
 	}
 	return true
 }
 
-// takeConfig takes in the leader's configuration if it is newer.
+// takeConfig applies the leader's configuration to the view if it is newer.
 func (c *Coordinator) takeConfig(view *fleet.View, state *peerv1.FleetState) {
 	config := &fleet.Config{}
 	body, err := bodyOf(state.Config)
@@ -163,7 +168,7 @@
 		err = json.Unmarshal(body, config)
 	}
 	if err != nil {
-		c.config.Logger.Warn().Err(err).Msg("the leader's configuration cannot be read")
+		c.config.Logger.Warn().Err(err).Msg("cannot decode the configuration in the leader's heartbeat")
 		return
 	}
 	c.have.Config = state.Versions.Config
@@ -174,7 +179,8 @@
 	}
 }
 
-// look reads the record and decides whether to follow or to take over.
+// look reads the record and queries other VMs about the leader. Then looked decides
+// whether to follow or to take over.
 func (c *Coordinator) look(now time.Time, silent time.Duration) {
 	c.looking = true
 	known, leader, yielding, heardWrite := c.view, c.view.Leader, c.yielding, c.heardWrite
@@ -189,7 +195,8 @@
 		}
 		e := evidence{known: len(others), silentFor: silent}
 		if record != nil && record.Term == known.Term && record.Leader.Incarnation == leader.Incarnation {
-			// What this VM heard is of the leader that the record still names.
+			// The record still names the leader that this VM follows, so what is
+			// known of that leader applies.
 			e.yielding = yielding
 			e.written = record.Write > heardWrite
 			c.ask(&e, others, known.Term)
@@ -201,7 +208,7 @@
 	}()
 }
 
-// others returns some VMs to ask, without this one and the leader.
+// others returns the known VMs, in arbitrary order, without this one and the leader.
 func (c *Coordinator) others(leader fleet.Member) []string {
 	var found []string
 	for vm := range c.view.Members {
@@ -212,7 +219,8 @@
 	return found
 }
 
-// ask asks some VMs whether they hear the leader.
+// ask queries up to askCount VMs whether they receive heartbeats of the leader of a
+// term, and counts the answers in e.
 func (c *Coordinator) ask(e *evidence, others []string, term uint64) {
 	type answer struct {
 		reply *peerv1.LeaderQueryReply
@@ -240,20 +248,22 @@
 	}
 }
 
-// queryLeader asks a VM, by its name or address, whom it hears.
+// queryLeader asks a VM, by its name or address, for its term, its incarnation and the
+// time since the last heartbeat that it received.
 func (c *Coordinator) queryLeader(vm string) (*peerv1.LeaderQueryReply, error) {
 	reply, err := c.call(vm, &peerv1.Control{Kind: &peerv1.Control_LeaderQuery{LeaderQuery: &peerv1.LeaderQuery{}}})
 	return reply.GetLeaderQueryReply(), err
 }
 
-// call sends a question to another VM and waits for its answer for a short time.
+// call sends a request to another VM and waits up to askTimeout for the reply.
 func (c *Coordinator) call(vm string, question *peerv1.Control) (*peerv1.Control, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, askTimeout)
 	defer cancel()
 	return c.config.Sender.Call(ctx, vm, question)
 }
 
-// answerQuery tells how long ago this VM heard its leader.
+// answerQuery returns this VM's answer to a leader query; on a leader the time since
+// the last heartbeat is 0.
 func (c *Coordinator) answerQuery() *peerv1.LeaderQueryReply {
 	reply := &peerv1.LeaderQueryReply{Term: c.view.Term, HeardMillisAgo: time.Since(c.heardAt).Milliseconds(), Incarnation: c.config.Self.Incarnation}
 	if c.lead != nil {
@@ -262,8 +272,8 @@
 	return reply
 }
 
-// ended reports whether the process of a leader is gone; replaced is set if
-// another incarnation answers in its place. It runs outside the loop.
+// ended reports whether the process of a leader has ended; replaced is set if another
+// incarnation answers at its address. It runs outside the loop.
 func (c *Coordinator) ended(leader fleet.Member, known *fleet.View) (ended, replaced bool) {
 	if leader.VM == c.config.Self.VM {
 		replaced = leader.Incarnation != c.config.Self.Incarnation
@@ -281,7 +291,8 @@
 	return replaced, replaced
 }
 
-// looked acts on a read of the record.
+// looked decides, after a check of the record, whether to follow the leader that it
+// names, to take over, or to wait.
 func (c *Coordinator) looked(record *fleet.Record, revision int64, err error, e evidence) {
 	c.looking = false
 	now := time.Now()
@@ -298,7 +309,7 @@
 		c.follow(record, now)
 	default:
 		e.unchangedFor = c.unchangedFor(revision, now)
-		// The leader may have said otherwise during the look.
+		// A heartbeat during the check may have withdrawn it.
 		e.yielding = e.yielding && c.yielding
 		e.storeBack = c.lacksStore && now.Sub(c.storeFailedAt) < storeBackGrace
 		may, why := mayTakeOver(e)
@@ -312,7 +323,7 @@
 	}
 }
 
-// unchangedFor returns how long the record has been seen at a revision.
+// unchangedFor returns how long this VM has read the record at a revision.
 func (c *Coordinator) unchangedFor(revision int64, now time.Time) time.Duration {
 	if revision != c.seenRevision {
 		c.seenRevision, c.seenSince = revision, now
@@ -320,13 +331,13 @@
 	return now.Sub(c.seenSince)
 }
 
-// follow turns to the leader that the record names.
+// follow makes this VM follow the leader that the record names.
 func (c *Coordinator) follow(record *fleet.Record, now time.Time) {
 	view := *c.view
 	view.Term, view.Leader = record.Term, record.Leader
 	c.yielding, c.heardMillis, c.heardWrite = false, 0, record.Write
 	if c.heardAt.Before(now.Add(-silentAfter)) {
-		// The new leader gets the time of a silent one to answer.
+		// Gives the new leader half of silentAfter to send its first heartbeat.
 		c.heardAt = now.Add(-silentAfter / 2)
 	}
 	c.publish(&view)
--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -10,31 +10,37 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// loadTime is how long the whole lists of targets take the leader's link that are
-// under way at the same time, a part of silentAfter.
+// loadTime bounds how long the leader's link is busy with the whole lists of targets
+// that are in flight at once. It is well below silentAfter, so that no heartbeat is
+// missed behind them.
 const loadTime = 100 * time.Millisecond
 
-// member is what the leader knows of another VM.
+// member is what the leader knows about another VM.
 type member struct {
 	fleet.Member
-	// joinedAt is when the leader first heard of the VM.
+	// joinedAt is when the VM became a member, heardAt when its last report arrived.
 	joinedAt, heardAt time.Time
-	// followedAt is the uptime since which the VM last said that it follows this one: when
-	// what it has heard was sent. Its reports may be held up for as long as a partition lasts.
+	// followedAt is the uptime of this leader up to which the VM is known to have
+	// followed it: the send time of the last heartbeat that the VM acknowledged. The
+	// arrival of reports does not count, since a partition may delay them for as long
+	// as it lasts.
 	followedAt time.Duration
-	term       uint64
-	// sent are the versions that were last sent; nil until the VM has said what it has.
-	// detailsAt is when owners of keys or VMs were last sent.
+	// term is the term in the VM's last report.
+	term uint64
+	// sent are the versions that were last sent; nil until the VM's first report.
+	// detailsAt is when the owners of keys or the VMs were last sent.
 	sent       *peerv1.PartVersions
 	deliveries deliveries
 	detailsAt  time.Time
-	// waits is set while the VM lacks the targets and it is not its turn to get all
-	// of them; loadingSince is when they were sent to it, until it has reported them.
+	// waits is set while the VM needs the whole list of targets and the link is busy
+	// with the lists of others. loadingSince is when the whole list was sent; zero once
+	// the VM has reported it.
 	waits        bool
 	loadingSince time.Time
 }
 
-// pushWithin passes changes on after a pause, together with those that follow.
+// pushWithin schedules a push of changes after at most the given pause, so that
+// changes within it are sent together.
 func (c *Coordinator) pushWithin(pause time.Duration) {
 	at := time.Now().Add(pause)
 	if c.lead.pushAt.IsZero() || at.Before(c.lead.pushAt) {
@@ -43,14 +49,14 @@
 	}
 }
 
-// pushPending passes changes on whose pause is over.
+// pushPending sends the pending changes if their pause is over.
 func (c *Coordinator) pushPending() {
 	if l := c.lead; l != nil && !l.pushAt.IsZero() && !time.Now().Before(l.pushAt) {
 		c.pushAll()
 	}
 }
 
-// brokers names the VM that gives out the permits of each service.
+// brokers maps each service to the VM that issues its permits: the leader.
 func (c *Coordinator) brokers(config *fleet.Config) map[string]string {
 	brokers := map[string]string{}
 	if config == nil {
@@ -65,13 +71,13 @@
 func encodeConfig(config *fleet.Config) []byte {
 	encoded, err := json.Marshal(config)
 	if err != nil {
-		// All fields are plain values.
+		// Cannot happen: all fields are plain values.
 		panic(err)
 	}
 	return encoded
 }
 
-// pushAll sends every VM what it lacks.
+// pushAll sends every VM a heartbeat with the parts whose present version it lacks.
 func (c *Coordinator) pushAll() {
 	c.lead.pushAt = time.Time{}
 	for _, m := range c.lead.members {
@@ -79,7 +85,7 @@
 	}
 }
 
-// push sends a VM a heartbeat and the parts that it lacks.
+// push sends a VM a heartbeat with the parts whose present version it lacks.
 func (c *Coordinator) push(m *member, now time.Time) {
 	l := c.lead
 	state := &peerv1.FleetState{
@@ -93,7 +99,7 @@
 	c.config.Sender.Send(m.VM, &peerv1.Control{Kind: &peerv1.Control_FleetState{FleetState: state}})
 }
 
-// presentRepeats returns the use of the budgets, not older than partAge.
+// presentRepeats returns the retry-budget counters, at most partAge old.
 func (c *Coordinator) presentRepeats(now time.Time) []*peerv1.ServiceRepeats {
 	l := c.lead
 	if now.Sub(l.repeatsAt) > maxPartAge {
@@ -102,8 +108,8 @@
 	return l.repeats
 }
 
-// addParts adds the parts to a state that a VM lacks. A list that this leader does
-// not have yet takes nothing from anybody.
+// addParts adds the parts whose present version a VM lacks to a heartbeat. A list that
+// this leader does not have yet is not sent, so that VMs keep the one they have.
 func (c *Coordinator) addParts(state *peerv1.FleetState, m *member, now time.Time) {
 	p := c.lead.parts
 	if m.sent.Config < p.configVersion {
@@ -126,7 +132,7 @@
 		m.sent.Members, m.detailsAt = p.members.digest, now
 		m.deliveries.members.markSent(state.Members.Base == 0, now)
 	}
-	// Owners of keys are of no use without the targets.
+	// A VM cannot use the owners of keys before it has the targets.
 	if p.slices.digest != 0 && m.sent.Slices != p.slices.digest && !m.waits && m.loadingSince.IsZero() {
 		state.Slices = p.slices.since(m.sent.Slices, now)
 		m.sent.Slices, m.detailsAt = p.slices.digest, now
@@ -134,9 +140,9 @@
 	}
 }
 
-// mayLoad reports whether a VM may be sent a whole list of targets now, and notes
-// that it is. Heartbeats must not wait behind the lists of a fleet that starts at
-// once, so that these take the link for loadTime at most.
+// mayLoad reports whether a whole list of targets, of a size in bytes, may be sent to a
+// VM now, and if so records that it is. When a whole fleet starts at once, heartbeats
+// must not queue behind the lists, so these occupy the link for loadTime at most.
 func (c *Coordinator) mayLoad(m *member, size int, now time.Time) bool {
 	underWay := 0
 	for _, other := range c.lead.members {
@@ -151,7 +157,8 @@
 	return true
 }
 
-// loaded notes that a VM has reported a list of targets, so that it is another's turn.
+// loaded records that a VM has reported the list of targets, and sends the list to
+// another VM that waits for it.
 func (c *Coordinator) loaded(m *member, now time.Time) {
 	m.loadingSince, m.detailsAt = time.Time{}, time.Time{}
 	for _, next := range c.lead.members {
@@ -162,6 +169,7 @@
 	}
 }
 
+// detailPause returns the least time between two sendings of details to one VM.
 func (c *Coordinator) detailPause() time.Duration {
 	if len(c.lead.members) > largeFleet {
 		return largeFleetDetailInterval
@@ -169,7 +177,7 @@
 	return detailInterval
 }
 
-// handleReport takes in a VM's report and answers with what it lacks.
+// handleReport processes a VM's report on the leader, and answers with a heartbeat.
 func (c *Coordinator) handleReport(from peer.Peer, report *peerv1.MemberReport) {
 	l := c.lead
 	if l == nil {
@@ -200,7 +208,7 @@
 	c.push(m, now)
 }
 
-// membersChanged publishes the VMs that the leader knows.
+// membersChanged publishes the members. Other VMs get them with the next heartbeats.
 func (c *Coordinator) membersChanged() {
 	l := c.lead
 	view := *c.view
@@ -212,6 +220,7 @@
 	c.publish(&view)
 }
 
+// dropMembers removes members that have not reported for memberGone.
 func (c *Coordinator) dropMembers(now time.Time) {
 	dropped := false
 	for name, m := range c.lead.members {
--- a/internal/process/coordinator/record.go
+++ b/internal/process/coordinator/record.go
@@ -12,7 +12,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// noteStall notices that this VM has been stopped for a while.
+// noteStall detects that the process has been suspended since the last tick.
 func (c *Coordinator) noteStall() {
 	l := c.lead
 	now := c.config.Uptime()
@@ -24,15 +24,16 @@
 	l.tickedAt = now
 }
 
-// outdone notes that a target has seen the fence of a later leader. VMs that follow
-// this one may not know of that leader, so only the store can say otherwise.
+// outdone records that a target has seen the fence of a later leader. VMs that follow
+// this leader may not know the later one, so only the store can confirm the
+// leadership from then on.
 func (l *leadership) outdone(now time.Duration) {
 	l.outdoneAt = now
 	l.touchAt = time.Time{}
 }
 
-// mayAct reports whether this VM is known to lead: the store or a majority of
-// the VMs has said so lately, and since it was last stopped.
+// mayAct reports whether the leadership is confirmed: the store or a majority of the
+// VMs has confirmed it within authority, and since the last suspension.
 func (c *Coordinator) mayAct() bool {
 	l := c.lead
 	now := c.config.Uptime()
@@ -45,8 +46,8 @@
 	return now-l.confirmedAt < authority && l.confirmedAt >= l.stalledAt || c.majority()
 }
 
-// majority reports whether most VMs follow this one. A VM follows one leader at
-// a time and never goes back to a lower term.
+// majority reports whether a majority of the VMs has followed this leader within
+// authority. A VM follows one leader at a time and never goes back to a lower term.
 func (c *Coordinator) majority() bool {
 	l := c.lead
 	now := c.config.Uptime()
@@ -59,8 +60,8 @@
 	return l.others() > 0 && 2*following > l.others()+1
 }
 
-// confirmedAt is the uptime at which this VM is last known to have led: the store had
-// not had another leader yet, or most VMs followed this one.
+// confirmedAt returns the latest uptime at which this VM is known to have led: the
+// store named no other leader then, or a majority of the VMs followed this one.
 func (c *Coordinator) confirmedAt() time.Duration {
 	l := c.lead
 	var followed []time.Duration
@@ -77,12 +78,12 @@
 	return max(l.confirmedAt, followed[len(followed)-most])
 }
 
-// others is the number of VMs that a majority is of, besides this one. Those that
-// were forgotten since the store last confirmed this leader may follow another.
+// others returns the number of other VMs to count for a majority. VMs removed since
+// the store last confirmed this leader still count, as they may follow another.
 func (l *leadership) others() int { return max(len(l.members), l.confirmedMembers) }
 
-// supersede notes when no former leader can act any more: most VMs follow this
-// one, or there are no others.
+// supersede records that former leaders can act for no longer than authority from now
+// on, once a majority of the VMs follows this leader or there are no others.
 func (c *Coordinator) supersede(now time.Time) {
 	l := c.lead
 	if l.superseded || !c.majority() && l.others() > 0 {
@@ -92,7 +93,7 @@
 	l.keeper.setSoleLeader(now.Add(authority))
 }
 
-// noteStore tells the others when the store is lost or regained.
+// noteStore detects that the store is lost or regained, and notifies the other VMs.
 func (c *Coordinator) noteStore(now time.Time) {
 	l := c.lead
 	lost := now.Sub(l.storeHeardAt) > storeLostAfter
@@ -104,7 +105,7 @@
 	c.pushAll()
 }
 
-// touch writes the record unchanged, but for the number of the write.
+// touch writes the record, when it is due, with no change but the number of the write.
 func (c *Coordinator) touch(now time.Time) {
 	l := c.lead
 	if l.writing || now.Before(l.touchAt) {
@@ -117,7 +118,8 @@
 	})
 }
 
-// write writes the leader's record and calls done on the loop while it leads.
+// write writes the leader's record. It calls done on the loop with the result, unless
+// the leadership has ended.
 func (c *Coordinator) write(record fleet.Record, done func(error)) {
 	l := c.lead
 	l.writing = true
@@ -135,7 +137,7 @@
 			l.writing = false
 			l.storeContact(err, time.Now())
 			if fault.Is(err, fault.Conflict) {
-				c.stepDown("the record has been changed by another VM")
+				c.stepDown("another VM has changed the record")
 				return
 			}
 			if err == nil {
@@ -150,16 +152,16 @@
 	}()
 }
 
-// storeContact notes the result of a call to the store.
+// storeContact records whether a call to the store was answered.
 func (l *leadership) storeContact(err error, now time.Time) {
 	if err == nil || fault.Is(err, fault.Conflict) || fault.Is(err, fault.NotFound) {
 		l.storeHeardAt = now
 	}
 }
 
-// writeRecord writes the record and resolves lost answers. A write without an
-// answer may still take effect later, so it is repeated until the store answers
-// or the object has moved on.
+// writeRecord writes the record if it is at the given revision, and returns the new
+// revision. A write without an answer may still take effect later, so it is repeated
+// until the store answers or the record is at another revision.
 func (c *Coordinator) writeRecord(record *fleet.Record, revision int64) (int64, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -182,7 +184,8 @@
 	}
 }
 
-// readBack finds out whether a write that was refused had taken effect before.
+// readBack handles a conflict: it finds out whether an earlier attempt of the same
+// write had taken effect, and otherwise returns the error refused.
 func (c *Coordinator) readBack(record *fleet.Record, refused error) (int64, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, writeTimeout)
 	defer cancel()
@@ -200,6 +203,7 @@
 	return 0, refused
 }
 
+// decodeRecord decodes the leader record.
 func decodeRecord(value []byte) (*fleet.Record, error) {
 	record := &fleet.Record{}
 	if err := json.Unmarshal(value, record); err != nil {
@@ -208,7 +212,7 @@
 	return record, nil
 }
 
-// next returns the record with changed slices of one service.
+// next returns a copy of the record with other slices for one service.
 func (l *leadership) next(service string, list []fleet.Slice) fleet.Record {
 	record := l.record
 	record.Slices = maps.Clone(record.Slices)
--- a/internal/process/coordinator/wire.go
+++ b/internal/process/coordinator/wire.go
@@ -13,8 +13,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// targetsSince writes the targets that are new or different since a former list.
-// How long a target is cold is relative to now.
+// targetsSince returns the diff from a former set of targets to the present one. The
+// remaining cold time of a target is relative to now.
 func targetsSince(former, present targetSet, now time.Time) proto.Message {
 	list := &peerv1.TargetList{Evacuated: slices.Sorted(maps.Keys(present.evacuated)), Removed: lacking(former.targets, present.targets)}
 	for id, t := range present.targets {
@@ -25,7 +25,7 @@
 	return list
 }
 
-// lacking returns the keys of former that present has not.
+// lacking returns the keys of former that are not in present.
 func lacking[V any](former, present map[string]V) []string {
 	var keys []string
 	for key := range former {
@@ -43,7 +43,8 @@
 	}
 }
 
-// applyTargets returns the targets after a list to which former is the base.
+// applyTargets applies a diff to former, its base, and returns the targets and the
+// evacuated failure domains.
 func applyTargets(list *peerv1.TargetList, former map[string]*fleet.Target, now time.Time) (map[string]*fleet.Target, map[string]bool) {
 	targets := make(map[string]*fleet.Target, len(former)+len(list.Targets))
 	maps.Copy(targets, former)
@@ -63,7 +64,7 @@
 	return targets, evacuated
 }
 
-// slicesSince writes the slices that are new or different since a former list.
+// slicesSince returns the diff from a former set of slices to the present one.
 func slicesSince(former, present sliceSet, _ time.Time) proto.Message {
 	list := &peerv1.SliceList{}
 	for service, owned := range present {
@@ -75,7 +76,8 @@
 	return list
 }
 
-// addService adds what is new in the sorted slices of a service, if anything is.
+// addService adds the diff of a service's slices, which are sorted by key, to the list
+// unless it is empty.
 func addService(list *peerv1.SliceList, service string, former, present []fleet.Slice) {
 	difference := &peerv1.ServiceSlices{Service: service}
 	for i := range present {
@@ -103,12 +105,12 @@
 	}
 }
 
-// sameSlice compares what other VMs are told of a slice.
+// sameSlice reports whether two slices are equal in the fields sent to other VMs.
 func sameSlice(a, b *fleet.Slice) bool {
 	return a.First == b.First && a.Last == b.Last && a.Owner == b.Owner && a.Ready == b.Ready
 }
 
-// applySlices returns the slices after a list to which former is the base.
+// applySlices applies a diff to former, its base, and returns the slices by service.
 func applySlices(list *peerv1.SliceList, former sliceSet) sliceSet {
 	services := maps.Clone(former)
 	if services == nil {
@@ -123,6 +125,7 @@
 	return services
 }
 
+// applyService applies the diff of one service to former, its base.
 func applyService(difference *peerv1.ServiceSlices, former []fleet.Slice) []fleet.Slice {
 	replaced := make(map[uint16]bool, len(difference.Slices)+len(difference.Removed))
 	for _, first := range difference.Removed {
@@ -145,8 +148,8 @@
 	return owned
 }
 
-// membersSince writes the VMs and brokers that are new or different since a
-// former list.
+// membersSince returns the diff from a former set of VMs and brokers to the present
+// one.
 func membersSince(former, present memberSet, _ time.Time) proto.Message {
 	list := &peerv1.MemberList{
 		Brokers: map[string]string{},
@@ -165,7 +168,7 @@
 	return list
 }
 
-// applyMembers returns the VMs and brokers after a list to which former is the base.
+// applyMembers applies a diff to former, its base, and returns the VMs and brokers.
 func applyMembers(list *peerv1.MemberList, former memberSet) memberSet {
 	after := memberSet{maps.Clone(former.members), maps.Clone(former.brokers)}
 	if after.members == nil {
--- a/internal/version/fleet/config.go
+++ b/internal/version/fleet/config.go
@@ -1,8 +1,8 @@
-// Package fleet defines what a VM knows when targets check fences themselves:
-// the configuration, the targets, who owns which keys, and the other VMs.
+// Package fleet defines the state that the VMs share when targets check fences
+// themselves: the configuration, the targets, the owners of keys, and the VMs.
 //
 // All values are immutable once published. A View is built on the control
-// goroutine and read by traffic through an atomic pointer.
+// goroutine, and request handlers read it through an atomic pointer.
 package fleet
 
 import (
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// RequestKind says what may be repeated.
+// RequestKind determines whether a request may be retried.
 type RequestKind string
 
 const (
 	// Idempotent requests may run more than once.
 	Idempotent RequestKind = "idempotent"
-	// AtMostOnce requests may run once for each attempt of a caller.
+	// AtMostOnce requests may run at most once for each attempt of a caller.
 	AtMostOnce RequestKind = "at-most-once"
 	// Upload is an AtMostOnce request with a large body.
 	Upload RequestKind = "upload"
@@ -26,7 +26,7 @@
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version rises with each configuration; a VM never goes back.
+	// Version rises with each configuration; a VM never goes back to a lower one.
 	Version  uint64    `json:"version"`
 	Limits   Limits    `json:"limits"`
 	Routes   []Route   `json:"routes"`
@@ -36,7 +36,7 @@
 	services map[string]*Service
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size of requests and how long a caller may take to send them.
 type Limits struct {
 	HeaderBytes   int           `json:"headerBytes"`
 	BodyBytes     int64         `json:"bodyBytes"`
@@ -44,26 +44,26 @@
 	IdleTimeout   time.Duration `json:"idleTimeout"`
 }
 
-// Route sends the requests of a host and path prefix to services.
+// Route assigns the requests for a host and path prefix to services.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
 	// Prefix begins and ends with a slash.
 	Prefix string      `json:"prefix"`
 	Kind   RequestKind `json:"kind"`
-	// Aim is the time within which an answer has its full worth.
+	// Aim is the response time to achieve; later answers are worth less to the caller.
 	Aim time.Duration `json:"aim"`
-	// Timeout is the longest time a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for an answer.
 	Timeout time.Duration `json:"timeout"`
-	// Priority is the rank; 0 is the highest.
+	// Priority orders routes when capacity is short; 0 is the highest.
 	Priority int `json:"priority"`
-	// MaxAttempts is the number of targets that one request may be sent to.
+	// MaxAttempts is the largest number of targets that one request is sent to.
 	MaxAttempts int `json:"maxAttempts"`
-	// Shares divide the requests between services by weight; one or more.
+	// Shares split the requests between services by weight. There is at least one.
 	Shares []Share `json:"shares"`
 }
 
-// Share is a service's part of a route.
+// Share is the weight of a service in a route.
 type Share struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
@@ -73,19 +73,21 @@
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"healthPath"`
-	// Connections is the number of connections that one target accepts.
+	// Connections is the largest number of connections that one target accepts.
 	Connections int `json:"connections"`
-	// Cold is how long a target is cold after its start; while cold it bears
-	// ColdRate requests a second.
+	// Cold is how long a target is cold after its start. While cold it can serve
+	// ColdRate requests per second.
 	Cold     time.Duration `json:"cold"`
 	ColdRate float64       `json:"coldRate"`
-	// Keyed services are divided by key.
+	// Keyed is set if the keys of the service are divided among its targets.
 	Keyed bool `json:"keyed,omitempty"`
-	// KeyWarmup is how long keys are slow that arrive without a handover.
+	// KeyWarmup is how long requests for a key are slow after its target has got it
+	// without a handover.
 	KeyWarmup time.Duration `json:"keyWarmup,omitempty"`
 }
 
-// Index prepares the lookups; it is called once, before the value is shared.
+// Index builds the lookup tables of Match and Service. It is called once, before the
+// configuration is published.
 func (c *Config) Index() {
 	c.byHost = map[string][]*Route{}
 	c.services = map[string]*Service{}
@@ -101,7 +103,8 @@
 	}
 }
 
-// Match returns the route with the longest prefix that begins the path, or nil.
+// Match returns the route of a host with the longest prefix of the path, or nil. The
+// host may include a port.
 func (c *Config) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -134,7 +137,8 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Class names requests that take similar work, for the estimate of service times.
+// Class returns the class of the route's requests. Requests of a class should take
+// similar work; service times are estimated for each class.
 func (r *Route) Class() string {
 	return string(r.Kind) + "/" + r.Aim.String()
 }
