--- a/internal/process/coordinator/coordinator_test.go
+++ b/internal/process/coordinator/coordinator_test.go
@@ -16,7 +16,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// leader returns the name of the VM that leads, and how many VMs do.
+// leader returns the name of a VM that leads, and the number of VMs that do.
 func (w *world) leader() (name string, count int) {
 	for _, n := range w.running() {
 		leads := false
@@ -28,14 +28,15 @@
 	return name, count
 }
 
-// running returns the nodes that run.
+// running returns the running nodes.
 func (w *world) running() []*node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Collect(maps.Values(w.nodes))
 }
 
-// servedWithin waits until all keys are held and returns how long that took.
+// servedWithin waits until all checked keys are held and returns how long that took. It
+// reports a problem if they are not within the limit.
 func (w *world) servedWithin(limit time.Duration) time.Duration {
 	began := time.Now()
 	for time.Since(began) < limit {
@@ -44,7 +45,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	w.problem("%d of %d keys are held %s after they should be", w.heldCount(), sampled, limit)
+	w.problem("%d of %d keys are held after %s, want all", w.heldCount(), sampled, limit)
 	return limit
 }
 
@@ -71,8 +72,8 @@
 // servedAgain is the time within which keys are to be served again after a loss.
 const servedAgain = time.Second
 
-// check reports a problem unless a condition holds. Assertions would leave the
-// bubble with goroutines running.
+// check reports a problem unless a condition holds. Unlike an assertion it does not end
+// the test, which would leave goroutines running in the bubble.
 func (w *world) check(holds bool, format string, args ...any) {
 	if !holds {
 		w.problem(format, args...)
@@ -87,7 +88,8 @@
 	})
 }
 
-// TestCalmLeaderStays: watches that bring nothing are no outage.
+// TestCalmLeaderStays: a leader whose watches return no changes does not take that for
+// an outage of the store.
 func TestCalmLeaderStays(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -100,7 +102,8 @@
 	})
 }
 
-// TestLeaderKilled: another VM leads within a second and the keys stay held.
+// TestLeaderKilled: after the leader's end another VM leads, and no key is without an
+// owner for a second.
 func TestLeaderKilled(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -113,8 +116,8 @@
 	})
 }
 
-// fewestTargets watches the views of the nodes for a time and returns the lowest
-// number of targets that one of them knew.
+// fewestTargets watches the nodes' views for a time and returns the lowest number of
+// targets that was in one of them.
 func (w *world) fewestTargets(watch time.Duration) int {
 	fewest := w.fewestKnown()
 	for began := time.Now(); time.Since(began) < watch; time.Sleep(10 * time.Millisecond) {
@@ -123,7 +126,7 @@
 	return fewest
 }
 
-// fewestKnown returns the number of targets that the node knows that knows fewest.
+// fewestKnown returns the lowest number of targets in a node's present view.
 func (w *world) fewestKnown() int {
 	fewest := fleet.Keys
 	for _, n := range w.nodes {
@@ -134,8 +137,8 @@
 	return fewest
 }
 
-// TestNextLeaderRepeatsNothing: VMs keep the targets that they know while the next
-// leader reads the declarations, and get no list again that they have.
+// TestNextLeaderRepeatsNothing: while the next leader reads the declarations, VMs keep
+// the targets that they know. They are sent no list again that they have.
 func TestNextLeaderRepeatsNothing(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -149,7 +152,7 @@
 	})
 }
 
-// drainBound is the time from a target's notice to its last new request.
+// drainBound is the longest time from a target's drain notice to its last new request.
 const drainBound = 2 * time.Second
 
 // leavingKnownWithin waits until all nodes know that a target leaves.
@@ -168,15 +171,14 @@
 			return
 		}
 		if time.Since(began) > limit {
-			w.problem("%s does not know after %s that %s leaves", late, limit, id)
+			w.problem("%s does not know that %[3]s is leaving after %[2]s", late, limit, id)
 			return
 		}
 	}
 }
 
-// TestLostChangeReachesAllInTime: a change of the targets that was lost on its way is
-// sent again within the time in which a leaving target must get nothing any more, also
-// while owners of keys change all the time.
+// TestLostChangeReachesAllInTime: a diff of the targets that was lost is sent again
+// within drainBound, even while owners of keys keep changing.
 func TestLostChangeReachesAllInTime(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -190,8 +192,9 @@
 	})
 }
 
-// TestChangeReachesVMsThatWatched in time: those that did not hear the leader for a
-// while have targets of their own, to which the leader's differences do not fit.
+// TestChangeReachesVMsThatWatched: VMs that received no heartbeats for a while have read
+// the targets from the store themselves. The leader's diffs do not apply to these, yet
+// later changes reach the VMs within drainBound.
 func TestChangeReachesVMsThatWatched(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -211,8 +214,8 @@
 	})
 }
 
-// TestTargetEnded: keys of a target whose port refuses connections are served
-// again within a second and the renewal that notices it.
+// TestTargetEnded: keys of a target whose port refuses connections are served again
+// within a second after the renewal that finds the port closed.
 func TestTargetEnded(t *testing.T) {
 	run(t, seed.Value, 3, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -223,7 +226,8 @@
 	})
 }
 
-// TestTargetSilent: keys of a silent target wait until its grants have run out.
+// TestTargetSilent: keys of a target that does not answer are granted to another only
+// after its grants have expired.
 func TestTargetSilent(t *testing.T) {
 	run(t, seed.Value, 3, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -237,7 +241,7 @@
 	})
 }
 
-// TestStoreOutage: grants are renewed throughout.
+// TestStoreOutage: grants are renewed while the store is unavailable.
 func TestStoreOutage(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -250,7 +254,8 @@
 	})
 }
 
-// TestLeaderTurnedAwayByTheStore: a VM that reaches the store takes over.
+// TestLeaderTurnedAwayByTheStore: when only the leader loses the store, a VM that
+// reaches it takes over.
 func TestLeaderTurnedAwayByTheStore(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -265,8 +270,8 @@
 	})
 }
 
-// TestDrainIsFollowed: a target that announces its end holds nothing after the
-// two seconds in which it still takes requests.
+// TestDrainIsFollowed: a target that announces its shutdown holds no keys after the two
+// seconds in which it still accepts requests.
 func TestDrainIsFollowed(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -281,8 +286,8 @@
 	})
 }
 
-// TestRestartOfEverything: after all VMs have lost power the first to come back
-// goes on from the record, at rising fences.
+// TestRestartOfEverything: after all VMs have stopped at once, the first to start again
+// continues from the record, with higher fences.
 func TestRestartOfEverything(t *testing.T) {
 	run(t, seed.Value, 4, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -298,9 +303,9 @@
 	})
 }
 
-// TestManyVMsStartAtOnce: the lists for a hundred VMs take the leader's link seconds.
-// Its heartbeats do not wait behind them, so that it stays the leader, and all VMs
-// know the targets.
+// TestManyVMsStartAtOnce: sending the whole lists to a hundred VMs takes the leader's
+// link seconds. Heartbeats must not queue behind them: the leader stays the same, and
+// all VMs get the targets.
 func TestManyVMsStartAtOnce(t *testing.T) {
 	const vms, targets = 100, 3000
 	run(t, seed.Value, 0, 0, func(w *world) {
@@ -323,8 +328,8 @@
 	})
 }
 
-// TestTargetStartsAgainUnderItsName: its former life holds nothing, the new one
-// gets keys at higher fences.
+// TestTargetStartsAgainUnderItsName: after a target's restart its former life holds no
+// keys, and the new one gets keys with higher fences.
 func TestTargetStartsAgainUnderItsName(t *testing.T) {
 	run(t, seed.Value, 3, 5, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -336,8 +341,9 @@
 	})
 }
 
-// takeAddress starts another target at the address of one that has ended, whose
-// entry lapses after the new one has come, and waits until all keys are served.
+// takeAddress starts another target at the address of one that has ended, and waits
+// until all keys are served. The ended target's registration is removed only after the
+// new one's has been added.
 func (w *world) takeAddress(id string) {
 	next := w.startTargetAt(id, id+"-next")
 	time.AfterFunc(1500*time.Millisecond, func() { w.put("servers/"+next.ID, next.Target) })
@@ -346,9 +352,10 @@
 	time.Sleep(2 * time.Second)
 }
 
-// TestAddressIsTakenOverBehindACut: a target ends while the leader has no path to
-// it, and another starts at its address before its entry has lapsed. The orders
-// that get through again must not give it the keys at the fences of the first.
+// TestAddressIsTakenOverBehindACut: a target ends while the leader cannot reach it, and
+// another starts at its address before the registration is removed. Once the leader
+// reaches the address again, its orders must not give the new target keys with the
+// fences of the first.
 func TestAddressIsTakenOverBehindACut(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
 		w.set(func() { w.fencesOfAll = true })
@@ -363,7 +370,8 @@
 	})
 }
 
-// TestNextProcessAtAnAddressGetsNoFormerFence: a target falls silent, and the next process at its address starts within a grant's length.
+// TestNextProcessAtAnAddressGetsNoFormerFence: a target stops answering, and the next
+// process at its address starts before the target's grants have expired.
 func TestNextProcessAtAnAddressGetsNoFormerFence(t *testing.T) {
 	for _, next := range []string{"t2", "t2-next"} {
 		for _, dark := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond, 2200 * time.Millisecond} {
@@ -383,7 +391,8 @@
 	}
 }
 
-// TestNextLifeThatTookAGrantDuringTheProbeKeepsIt: a target starts again while witnesses are asked whether it has ended.
+// TestNextLifeThatTookAGrantDuringTheProbeKeepsIt: a target restarts, and is granted
+// keys, while other VMs probe whether its former life has ended.
 func TestNextLifeThatTookAGrantDuringTheProbeKeepsIt(t *testing.T) {
 	for dark := 50 * time.Millisecond; dark < time.Second; dark += 50 * time.Millisecond {
 		t.Run(dark.String(), func(t *testing.T) {
@@ -405,7 +414,9 @@
 	}
 }
 
-// TestReplacedLeaderGivesNoKeysToANextLife: the former leader knows by a higher fence that it has been replaced, and a target that starts again then has seen none.
+// TestReplacedLeaderGivesNoKeysToANextLife: a partitioned leader learns from the higher
+// fence in a refusal that it has been replaced. A target that restarts after that has
+// seen no fence, and must not be granted keys by the former leader.
 func TestReplacedLeaderGivesNoKeysToANextLife(t *testing.T) {
 	for i := range uint64(8) {
 		run(t, seed.Value+i, 4, 5, func(w *world) {
@@ -419,7 +430,7 @@
 			w.cutFor(5*time.Second, leader+">store")
 			for began := time.Now(); !w.noted("a higher fence was seen"); time.Sleep(5 * time.Millisecond) {
 				if time.Since(began) > 4*time.Second {
-					w.set(func() { w.problem("no order of the former leader was refused") })
+					w.set(func() { w.problem("no order of the former leader was refused for its fence") })
 					return
 				}
 			}
@@ -437,7 +448,8 @@
 	return slices.ContainsFunc(w.history, func(line string) bool { return strings.Contains(line, text) })
 }
 
-// register starts a target at a place and registers it once it has run for a while.
+// register starts a target at the address of target place, and registers it after it
+// has run for a while.
 func (w *world) register(place, id string) {
 	next := w.startTargetAt(place, id)
 	time.AfterFunc(1500*time.Millisecond, func() { w.put("servers/"+id, next.Target) })
@@ -446,10 +458,10 @@
 	}
 }
 
-// TestAddressIsTakenOverBeforeTheLeadChanges: the leader does not reach a target,
-// which ends, and another starts at its address before its entry has lapsed. The
-// next leader, whose start the store delays, reaches the address, and must not
-// renew what its predecessor could not.
+// TestAddressIsTakenOverBeforeTheLeadChanges: a target that the leader cannot reach ends,
+// and another starts at its address before the registration is removed. The next
+// leader, delayed by the store, reaches the address. It must not renew the grants that
+// its predecessor could not renew.
 func TestAddressIsTakenOverBeforeTheLeadChanges(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
 		w.set(func() { w.fencesOfAll = true })
@@ -467,7 +479,9 @@
 	})
 }
 
-// TestLeaderCutOffWithAMinorityStopsRenewing: it forgets the others and must not take those that are left for all.
+// TestLeaderCutOffWithAMinorityStopsRenewing: a leader in a minority partition without
+// the store drops the VMs that no longer report. It must not count the remaining ones
+// as a majority.
 func TestLeaderCutOffWithAMinorityStopsRenewing(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -487,7 +501,9 @@
 	})
 }
 
-// TestLeaderWithoutTheStoreIsNotTakenForGone: a VM that is cut off from the others and alone reaches the store must not give away the keys of a target that the leader renews.
+// TestLeaderWithoutTheStoreIsNotTakenForGone: one VM is partitioned off from the others
+// and is the only one to reach the store. When it takes over, it must not grant the keys
+// of a target whose grants the former leader still renews to another.
 func TestLeaderWithoutTheStoreIsNotTakenForGone(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -513,7 +529,8 @@
 	})
 }
 
-// TestForgedEntryIsNoNextLife: another writer puts an entry in a target's place that names a service which is not declared.
+// TestForgedEntryIsNoNextLife: another writer replaces a target's registration with one
+// for a service that is not declared. This is no restart of the target.
 func TestForgedEntryIsNoNextLife(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -527,8 +544,8 @@
 	})
 }
 
-// TestBudgetOutlivesItsLeader: a new leader knows how many repeats the former one
-// had let run, so that a budget is not spent twice.
+// TestBudgetOutlivesItsLeader: a new leader takes over the former one's retry-budget
+// counters, so that no budget is spent twice.
 func TestBudgetOutlivesItsLeader(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -545,23 +562,22 @@
 		defer n.mu.Unlock()
 		assert.Assert(t, next != former)
 		assert.DeepEqual(t, n.repeated, spent)
-		assert.Assert(t, ended.Sub(n.repeatedAt).Abs() < time.Second, "heard %v before the end", ended.Sub(n.repeatedAt))
+		assert.Assert(t, ended.Sub(n.repeatedAt).Abs() < time.Second, "last heartbeat %v before the leader's end", ended.Sub(n.repeatedAt))
 	})
 }
 
-// longerThanAGrant is for how long an owner is out of reach once its grants have run out.
+// longerThanAGrant is a time after which all grants of an unreachable owner have expired.
 const longerThanAGrant = 3500 * time.Millisecond
 
-// randomWorlds is the number of random worlds; CI plays the default.
+// randomWorlds is the number of random worlds; CI runs the default.
 var randomWorlds = flag.Uint64("worlds", 60, "number of random worlds")
 
-// TestRandomWorlds plays faults in series and at once: killed, frozen and cut
-// VMs, targets that end, fall silent, leave and start again, a store that is
-// down, loses answers or turns VMs away, orders that are carried out late, messages
-// that partitions hold up, connections that take long to be opened, answers of the store
-// that come late, and VMs that leave.
-// No key may ever have two owners, and all are held once the faults are over. In every
-// second world there are more of them at once.
+// TestRandomWorlds injects random faults, one after another and concurrently: VMs that
+// are killed, frozen, partitioned off or shut down; targets that end, stop answering,
+// drain and restart; a store that is down, unreachable from some VMs, loses answers or
+// answers late; orders that are applied late; messages that partitions delay; and
+// connections that take long to open. No key may ever have two owners, and all keys are
+// held again after the faults. Every second world has more concurrent faults.
 func TestRandomWorlds(t *testing.T) {
 	for i := range *randomWorlds {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -585,7 +601,8 @@
 	}
 }
 
-// randomFault begins a fault that ends within half a second and a number of milliseconds.
+// randomFault starts a fault that lasts between 500 ms and 500 ms + longest, in
+// milliseconds.
 func (w *world) randomFault(longest int) {
 	name := fmt.Sprintf("n%d", w.draw(4))
 	id := fmt.Sprintf("t%d", w.draw(5))
@@ -683,7 +700,8 @@
 	}
 }
 
-// leaderWithin is leader without waiting for frozen VMs.
+// leaderWithin returns the leader in a running VM's view. Unlike leader it does not wait
+// for frozen VMs.
 func (w *world) leaderWithin() (string, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -698,18 +716,20 @@
 	return "", false
 }
 
+// set calls change while it holds w.mu.
 func (w *world) set(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
+// cutFor cuts the path of a pair "from>to" for a time.
 func (w *world) cutFor(duration time.Duration, pair string) {
 	w.set(func() { w.cut[pair] = true })
 	time.AfterFunc(duration, func() { w.set(func() { delete(w.cut, pair) }) })
 }
 
-// divide returns a group of some size with one VM in it, and the other VMs.
+// divide splits VMs into a group of a size that contains the VM with, and the others.
 func divide(all []string, with string, size int) (group, others []string) {
 	group = []string{with}
 	for _, name := range all {
@@ -724,12 +744,13 @@
 	return group, others
 }
 
-// cutBetween cuts the path between two for a time, in both directions.
+// cutBetween cuts the paths between a and b for a time, in both directions.
 func (w *world) cutBetween(duration time.Duration, a, b string) {
 	w.cutFor(duration, a+">"+b)
 	w.cutFor(duration, b+">"+a)
 }
 
+// restartNode starts a node unless it is running.
 func (w *world) restartNode(name string) {
 	w.mu.Lock()
 	running := w.nodes[name] != nil
@@ -739,7 +760,8 @@
 	}
 }
 
-// returnTarget registers a target again that had left or lapsed, in the same life.
+// returnTarget restores the registration of a target that was draining or removed, in
+// the same life.
 func (w *world) returnTarget(id string) {
 	w.mu.Lock()
 	target := w.targets[id].Target
@@ -747,7 +769,7 @@
 	w.put("servers/"+id, target)
 }
 
-// heal ends all faults.
+// heal ends the faults, and starts the VMs and targets that have ended.
 func (w *world) heal() {
 	w.set(func() {
 		clear(w.cut)
@@ -771,8 +793,8 @@
 	}
 }
 
-// TestLeaderStaysOverAnOutage: a store that was away for everybody comes back, and
-// nobody takes over from a leader that has not yet tried again.
+// TestLeaderStaysOverAnOutage: when the store returns after an outage for all VMs, no VM
+// takes over from a leader that has not yet retried.
 func TestLeaderStaysOverAnOutage(t *testing.T) {
 	for i := range uint64(12) {
 		run(t, seed.Value+i, 9, 6, func(w *world) {
@@ -789,8 +811,8 @@
 	}
 }
 
-// cutDomain cuts a failure domain off from the others, or heals the cut. The cut
-// drops packets, or refuses connections.
+// cutDomain partitions a failure domain off from the others if cut is set, or heals the
+// partition. If refuses is set, connections are refused, otherwise packets are dropped.
 func (w *world) cutDomain(domain string, nodes, targets int, refuses, cut bool) {
 	w.set(func() {
 		pairs := w.cut
@@ -808,6 +830,7 @@
 	})
 }
 
+// everybody returns the names of all nodes and targets.
 func everybody(nodes, targets int) []string {
 	var names []string
 	for i := range nodes {
@@ -819,9 +842,9 @@
 	return names
 }
 
-// TestDomainCutOff: VMs that are cut off together, with targets near them, while
-// all reach the store. Nobody takes a process beyond the cut for ended, so no key
-// gets two owners, and the part with fewer VMs does not take the lead.
+// TestDomainCutOff: a failure domain with VMs and targets is partitioned off, while all
+// VMs reach the store. No VM takes a process on the other side for ended, so no key gets
+// two owners, and the side with fewer VMs does not take over.
 func TestDomainCutOff(t *testing.T) {
 	const nodes, targets = 12, 9
 	for _, refuses := range []bool{false, true} {
@@ -851,8 +874,8 @@
 	}
 }
 
-// TestLargeVMLeads: of VMs of unequal size a large one leads after the loss of the
-// leader, and a small one leaves the lead to a large one that joins.
+// TestLargeVMLeads: with VMs of different sizes, a large one takes over from a leader
+// that has ended, and a small leader hands over to a large VM that joins.
 func TestLargeVMLeads(t *testing.T) {
 	run(t, seed.Value, 9, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -876,7 +899,8 @@
 	})
 }
 
-// TestTargetThatClosesItsPortFinishesItsRequests before its keys go to another.
+// TestTargetThatClosesItsPortFinishesItsRequests: its keys are granted to another target
+// only after that.
 func TestTargetThatClosesItsPortFinishesItsRequests(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
--- a/internal/process/coordinator/world_test.go
+++ b/internal/process/coordinator/world_test.go
@@ -27,9 +27,9 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/keyspace"
 )
 
-// world runs coordinators against targets that check fences, on the virtual
-// clock of a synctest bubble, and checks after every order that no key has two
-// owners and that fences rise.
+// world simulates VMs, targets that check fences, and the store on the virtual clock
+// of a synctest bubble. It checks after every order that no key has two owners and
+// that fences rise.
 type world struct {
 	t      *testing.T
 	began  time.Time
@@ -39,53 +39,61 @@
 	memory  *store.Memory
 	nodes   map[string]*node
 	targets map[string]*fakeTarget
-	// working counts the requests under way by target.
+	// working counts the requests in flight by target.
 	working map[string]int
-	// cut holds pairs "from>to" without a path; "from>store" cuts from the store.
+	// cut holds pairs "from>to" between which packets are dropped; "from>store" cuts a
+	// VM off from the store.
 	cut map[string]bool
-	// refused holds pairs whose connections are refused although both run.
+	// refused holds pairs "from>to" whose connections are refused although both run.
 	refused map[string]bool
-	// holdsBack keeps what VMs send each other over a path that is cut until it heals.
+	// holdsBack delays messages between VMs over a cut path until it heals, instead of
+	// dropping them.
 	holdsBack bool
-	// openings is how long a connection for a new grant to an address takes to be opened,
-	// or one "from>to"; opening counts those that are, by address.
+	// openings is how long it takes to open a connection for a new grant, by address or
+	// "from>to"; opening counts the connections that are being opened, by address.
 	openings map[string]time.Duration
 	opening  map[string]int
-	// outage stops the store for everybody.
+	// outage makes the store unavailable to all VMs.
 	outage bool
-	// answersTake is how long answers to the writes of a node are on their way.
+	// answersTake is the delay of the store's answers to writes, by node.
 	answersTake map[string]time.Duration
 	// loseAnswers is the share of writes whose answers are lost.
 	loseAnswers float64
-	// lateOrders is the share of orders that are not answered and applied late.
+	// lateOrders is the share of orders that are not answered and are applied late.
 	lateOrders float64
-	// linkRate is what the link of each node carries, in bytes a second; 0 for no bound.
+	// linkRate is the bandwidth of each node's link in bytes per second; 0 for no limit.
 	linkRate float64
-	// listTakes is how long the store takes for a list.
+	// listTakes is how long the store takes to answer a list.
 	listTakes time.Duration
-	// loseTargets is the number of coming messages with targets that are lost, as with
-	// the session that they are sent on.
+	// loseTargets is the number of messages with targets to drop from now on, as if
+	// their session were lost.
 	loseTargets int
-	// wholeLists counts the lists of targets, owners and VMs that were sent as a whole.
+	// wholeLists counts the lists of targets, slices and members that were sent whole
+	// instead of as a diff.
 	wholeLists int
-	calls      uint64
-	waiting    map[uint64]chan *peerv1.Control
-	problems   []string
+	// calls is the last number given to a call, message or incarnation; waiting are
+	// the calls without a reply, by number.
+	calls   uint64
+	waiting map[uint64]chan *peerv1.Control
+	// problems are the failures found so far.
+	problems []string
 	// fencesOfAll extends the check of fences to targets that have ended.
 	fencesOfAll bool
 	fenced      [sampled]highestGrant
-	// history is what happened, to explain problems.
+	// history is a log of events, printed if there are problems.
 	history []string
 }
 
 // service is the only service of the world.
 const service = "keyed"
 
-// sampled are the keys that the world looks at.
+// sampled is the number of keys that the world checks.
 const sampled = 64
 
+// sample returns the i-th key to check.
 func sample(i int) uint16 { return uint16(i * fleet.Keys / sampled) }
 
+// node is a VM of the world.
 type node struct {
 	world       *world
 	name        string
@@ -95,11 +103,13 @@
 	coordinator *coordinator.Coordinator
 	view        *fleet.View
 	mu          sync.Mutex
-	// taken are the processes that took a fence from this node; world.mu guards it.
+	// taken are the processes that accepted a fence from this node; guarded by world.mu.
 	taken map[uint64]*fakeTarget
-	// linkFree is when what was sent has left the node's link; world.mu guards it.
+	// linkFree is when the messages sent so far have left the node's link; guarded by
+	// world.mu.
 	linkFree time.Time
-	// repeated are the counts that the node's broker has, or has adopted.
+	// repeated are the retry-budget counters of the node's broker; repeatedAt is the
+	// time of the heartbeat from which they were adopted.
 	repeated   map[string]admission.RepeatCount
 	repeatedAt time.Time
 }
@@ -121,7 +131,7 @@
 	return w
 }
 
-// put writes an object as the platform does.
+// put writes an object to the store, whatever its present version.
 func (w *world) put(name string, value any) {
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -160,8 +170,8 @@
 	w.nodes[name] = n
 }
 
-// processorOf makes every fourth VM a large one, so that there is one in each
-// failure domain.
+// processorOf makes every fourth VM a large one. With nine VMs, each failure domain
+// has one.
 func processorOf(name string) uint32 {
 	if int(name[len(name)-1]-'0')%4 == 0 {
 		return 800
@@ -172,7 +182,7 @@
 // domainOf spreads VMs and targets over three failure domains.
 func domainOf(name string) string { return []string{"a", "b", "c"}[int(name[len(name)-1])%3] }
 
-// dial connects to a VM or a target.
+// dial simulates connecting to a VM or a target.
 func (n *node) dial(ctx context.Context, address string) error {
 	id, _, _ := strings.Cut(address, ":")
 	w := n.world
@@ -192,7 +202,7 @@
 	return nil
 }
 
-// historyWriter puts the nodes' logs into the history.
+// historyWriter appends the nodes' log lines to the history.
 type historyWriter struct{ world *world }
 
 func (h historyWriter) Write(line []byte) (int, error) {
@@ -212,7 +222,7 @@
 	}
 }
 
-// freeze stops a node's control for a time; what it has sent goes on.
+// freeze blocks a node's loop for a time. Messages and orders in flight go on.
 func (n *node) freeze(duration time.Duration) { n.loop.Post(func() { time.Sleep(duration) }) }
 
 func (n *node) publish(view *fleet.View) {
@@ -227,7 +237,7 @@
 	return admission.Observation{Slowness: 1, Running: n.world.working[id]}, true
 }
 
-// repeats shows what the node's broker has let run.
+// repeats returns the retry-budget counters of the node's broker.
 func (n *node) repeats(time.Time) map[string]admission.RepeatCount {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -240,7 +250,7 @@
 	n.repeated, n.repeatedAt = counts, heard
 }
 
-// demand shows an even load with a hot set that moves.
+// demand simulates an even load with a hot set that moves every 5 s.
 func (n *node) demand(_ string, now time.Time, use func(*keyspace.Load)) {
 	load := keyspace.NewLoad(now)
 	hot := int(now.Unix()/5) * 9973 % fleet.Keys
@@ -268,7 +278,7 @@
 	DecodeEvacuation: func(o store.Object) string { return strings.TrimPrefix(o.Name, "evacuations/") },
 }
 
-// path reports whether messages get from one party to another.
+// path reports whether messages get from one VM to another.
 func (w *world) path(from, to string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -285,8 +295,8 @@
 	}()
 }
 
-// transmit returns how long it takes until a message has left the node's link, behind
-// those that were sent before.
+// transmit returns the time until a message of a size in bytes has left the node's
+// link, behind those sent before.
 func (n *node) transmit(size int) time.Duration {
 	n.world.mu.Lock()
 	defer n.world.mu.Unlock()
@@ -301,8 +311,9 @@
 	return n.linkFree.Sub(now)
 }
 
-// awaitPath waits with a message until a cut has healed, if the world holds back what
-// was sent, also by processes that have ended. Messages keep their order.
+// awaitPath waits until a cut path has healed, if the world holds messages back, and
+// reports whether the message may be delivered. It holds back messages of ended
+// processes, too. Messages keep their order.
 func (w *world) awaitPath(from *node, to string) bool {
 	w.mu.Lock()
 	holds := w.holdsBack && !w.refused[from.name+">"+to]
@@ -320,12 +331,13 @@
 }
 
 const (
-	// heldStep is the interval at which messages that are held back look at the path;
+	// heldStep is the interval at which messages that are held back check the path;
 	// after heldLongest they are lost.
 	heldStep    = 20 * time.Millisecond
 	heldLongest = 12 * time.Second
 )
 
+// deliver delivers a message to a node, or to the call that it answers.
 func (w *world) deliver(from *node, to string, message *peerv1.Control) {
 	if !w.path(from.name, to) && !w.awaitPath(from, to) {
 		return
@@ -388,7 +400,7 @@
 	}
 }
 
-// nodeStore is the store as one node reaches it.
+// nodeStore is a node's client of the store.
 type nodeStore struct{ node *node }
 
 func (s nodeStore) reach(ctx context.Context) error {
@@ -410,7 +422,8 @@
 	return s.node.world.memory.Get(ctx, name)
 }
 
-// Put may lose its answer; the write takes effect at once or seconds later.
+// Put writes an object. If its answer is lost, the write takes effect at once or
+// seconds later.
 func (s nodeStore) Put(ctx context.Context, name string, value []byte, expected int64) (int64, error) {
 	if err := s.reach(ctx); err != nil {
 		return 0, err
@@ -468,21 +481,21 @@
 	}
 }
 
-// chance draws whether something that happens with a share happens now.
+// chance returns true with a probability.
 func (w *world) chance(share *float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.random.Float64() < *share
 }
 
-// draw draws a number below n.
+// draw returns a random number below n.
 func (w *world) draw(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.random.IntN(n)
 }
 
-// note adds a line to the history; the lock is held.
+// note adds a line to the history; the caller holds w.mu.
 func (w *world) note(format string, args ...any) {
 	w.history = append(w.history, time.Since(w.began).String()+" "+fmt.Sprintf(format, args...))
 }
@@ -491,7 +504,7 @@
 	w.problems = append(w.problems, time.Since(w.began).String()+" "+fmt.Sprintf(format, args...))
 }
 
-// run plays a world in a bubble.
+// run runs a test in a new world, and fails it if there are problems.
 func run(t *testing.T, seed uint64, nodes, targets int, play func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, seed, nodes, targets)
@@ -505,7 +518,7 @@
 		for _, n := range all {
 			n.cancel()
 		}
-		// Calls that are under way end by their own time-outs.
+		// Calls in flight end by their own timeouts.
 		time.Sleep(15 * time.Second)
 		if len(w.problems) == 0 {
 			return
