--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -20,10 +20,10 @@
 	touchEvery = 600 * time.Millisecond
 	// touchRetry is the pause after such a write failed.
 	touchRetry = 300 * time.Millisecond
-	// stall is the time without a tick after which the process counts as having been
-	// suspended. It then sends no orders for afterStall, and only once its leadership
-	// is confirmed again: messages that wait in its connections predate the
-	// suspension.
+	// stall is the time without a tick after which the process counts as having
+	// stalled, for instance because the VM was suspended. It then sends no orders for
+	// afterStall, and only once its leadership is confirmed again: messages that wait
+	// in its connections predate the stall.
 	stall      = 600 * time.Millisecond
 	afterStall = 300 * time.Millisecond
 	// storeLostAfter is the time without an answer from the store after which the
@@ -60,7 +60,7 @@
 	// touchAt is when the record is to be written again, even if unchanged.
 	touchAt time.Time
 	// tickedAt is the uptime of the last tick; stalledAt is that of the last tick after
-	// a suspension, or 0.
+	// a stall, or 0.
 	tickedAt, stalledAt time.Duration
 	// outdoneAt is the uptime at which a target last refused a grant with a higher
 	// fence, which a later leader must have issued; 0 if never.
--- a/internal/process/coordinator/record.go
+++ b/internal/process/coordinator/record.go
@@ -12,7 +12,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// noteStall detects that the process has been suspended since the last tick.
+// noteStall detects that the process has stalled since the last tick.
 func (c *Coordinator) noteStall() {
 	l := c.lead
 	now := c.config.Uptime()
@@ -33,7 +33,7 @@
 }
 
 // mayAct reports whether the leadership is confirmed: the store or a majority of the
-// VMs has confirmed it within authority, and since the last suspension.
+// VMs has confirmed it within authority, and since the last stall.
 func (c *Coordinator) mayAct() bool {
 	l := c.lead
 	now := c.config.Uptime()
@@ -191,7 +191,7 @@
 	defer cancel()
 	object, err := c.config.Store.Get(ctx, c.config.RecordName)
 	if err != nil {
-		return 0, fault.Wrap(err, fault.UnknownOutcome, "read the record again", "the record cannot be read back")
+		return 0, fault.Wrap(err, fault.UnknownOutcome, "read the record again", "cannot read the leader record back after a conflicting write")
 	}
 	found, err := decodeRecord(object.Value)
 	if err != nil {
@@ -207,7 +207,7 @@
 func decodeRecord(value []byte) (*fleet.Record, error) {
 	record := &fleet.Record{}
 	if err := json.Unmarshal(value, record); err != nil {
-		return nil, fault.Wrap(err, fault.Invalid, "delete the object", "the record in the store cannot be read")
+		return nil, fault.Wrap(err, fault.Invalid, "delete the object", "the leader record in the store cannot be decoded")
 	}
 	return record, nil
 }
