--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -51,18 +51,20 @@
 	Self fleet.Member
 	// RecordName is the name of the store object that holds the leader record.
 	RecordName string
-	Names      observer.Names
-	Loop       *loop.Loop
-	Store      store.Store
-	Sender     peer.ControlSender
-	Targets    Targets
+	// Names are the store prefixes and the decoders of the declarations.
+	Names observer.Names
+	// Loop runs everything that uses the coordinator's state.
+	Loop    *loop.Loop
+	Store   store.Store
+	Sender  peer.ControlSender
+	Targets Targets
 	// LongestHold is the longest duration of a grant that targets accept.
 	LongestHold time.Duration
 	// LinkRate is the bandwidth of the VM's link in bytes per second; 0 if unknown.
 	LinkRate float64
 	// Publish receives every new view. It is called on the loop.
 	Publish func(*fleet.View)
-	// Observe returns this VM's broker's measurements of a target; ok is false if
+	// Observe returns the measurements of a target by this VM's broker, and false if
 	// there are none.
 	Observe func(service, target string) (admission.Observation, bool)
 	// Dial opens a connection to an address and closes it.
