--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -92,38 +92,38 @@
 	// The following fields are a follower's state.
 
 	startedAt time.Time
-	// heardAt is when the last heartbeat of the leader arrived. A new leader gets
+	// heartbeatAt is when the last heartbeat of the leader arrived. A new leader gets
 	// a value in the recent past, so that it has time to send its first one.
-	heardAt time.Time
-	// heardLast is the arrival of the last heartbeat for readers outside the loop;
+	heartbeatAt time.Time
+	// sharedHeartbeatAt is the arrival of the last heartbeat for readers outside the loop;
 	// nil before the first one.
-	heardLast atomic.Pointer[time.Time]
-	// repeats are the retry-budget counters in the leader's last heartbeat.
-	repeats []*peerv1.ServiceRepeats
+	sharedHeartbeatAt atomic.Pointer[time.Time]
+	// leaderRepeats are the retry-budget counters in the leader's last heartbeat.
+	leaderRepeats []*peerv1.ServiceRepeats
 	// reportAt is when the next report to the leader is due.
 	reportAt time.Time
-	// yielding is set if the leader has asked in its last heartbeat that this VM
+	// leaderYielding is set if the leader has asked in its last heartbeat that this VM
 	// take over.
-	yielding bool
-	// lacksStore is set if the leader has lost the store and is not shutting down.
+	leaderYielding bool
+	// leaderLacksStore is set if the leader has lost the store and is not shutting down.
 	// storeFailedAt is when the store last failed to answer this VM.
-	lacksStore    bool
-	storeFailedAt time.Time
-	// have are the versions of the parts of the leader's state that this VM has.
-	have *peerv1.PartVersions
+	leaderLacksStore bool
+	storeFailedAt    time.Time
+	// haveVersions are the versions of the parts of the leader's state that this VM has.
+	haveVersions *peerv1.PartVersions
 	// lookAt is when the next check of the leader record is due; zero while
 	// heartbeats arrive.
 	lookAt time.Time
-	// heardMillis is the leader's uptime in milliseconds in its last heartbeat; 0 if
+	// leaderUptimeMillis is the leader's uptime in milliseconds in its last heartbeat; 0 if
 	// there was none.
-	heardMillis uint64
-	// heardWrite is the number of the leader's last write of the record, as of its
+	leaderUptimeMillis uint64
+	// leaderWrite is the number of the leader's last write of the record, as of its
 	// last heartbeat.
-	heardWrite uint64
-	// seenRevision is the record's revision when it was last read, seenSince when
+	leaderWrite uint64
+	// recordRevision is the record's revision when it was last read, seenSince when
 	// it was first read at that revision.
-	seenRevision int64
-	seenSince    time.Time
+	recordRevision      int64
+	recordRevisionSince time.Time
 	// lookPause is the pause before the next check of the record.
 	lookPause time.Duration
 	// looking is set while a check of the record or a takeover is in flight.
@@ -137,7 +137,7 @@
 
 // New returns a coordinator that does nothing until Start is called.
 func New(config Config) *Coordinator {
-	c := &Coordinator{config: config, view: &fleet.View{}, have: &peerv1.PartVersions{}, lookPause: lookMin}
+	c := &Coordinator{config: config, view: &fleet.View{}, haveVersions: &peerv1.PartVersions{}, lookPause: lookMin}
 	c.observer = observer.New(observer.Config{
 		Names: config.Names, Store: config.Store, Loop: config.Loop, Logger: config.Logger,
 		Changed: c.declarationsChanged, Contact: c.storeContact,
@@ -151,7 +151,7 @@
 	c.config.Loop.Post(func() {
 		now := time.Now()
 		c.startedAt = now
-		c.heardAt = now.Add(-silentAfter)
+		c.heartbeatAt = now.Add(-silentAfter)
 		c.lookAt = now.Add(rankDelay(c.config.Self, c.view))
 	})
 	c.config.Loop.Every(ctx, tickEvery, c.tick)
@@ -172,7 +172,7 @@
 // HearsLeader reports whether a heartbeat of the leader has arrived within the
 // heartbeat timeout. It may be called from any goroutine.
 func (c *Coordinator) HearsLeader() bool {
-	at := c.heardLast.Load()
+	at := c.sharedHeartbeatAt.Load()
 	return at != nil && time.Since(*at) < silentAfter
 }
 
@@ -213,7 +213,7 @@
 	if c.observer.Complete() {
 		view.Targets, view.Evacuated = c.observer.Targets(), c.observer.Evacuated()
 		// A diff against the leader's last list no longer applies.
-		c.have.Targets = 0
+		c.haveVersions.Targets = 0
 	}
 	c.publish(&view)
 }
@@ -225,16 +225,16 @@
 
 // Handle processes a message from another VM. It returns the reply, or nil, and
 // reports whether the message was for the coordinator.
-func (c *Coordinator) Handle(from peer.Peer, message *peerv1.Control) (*peerv1.Control, bool) {
+func (c *Coordinator) Handle(sender peer.Peer, message *peerv1.Control) (*peerv1.Control, bool) {
 	switch kind := message.Kind.(type) {
 	case *peerv1.Control_MemberReport:
-		c.handleReport(from, kind.MemberReport)
+		c.handleReport(sender, kind.MemberReport)
 	case *peerv1.Control_FleetState:
-		c.handleState(from, kind.FleetState)
+		c.handleState(sender, kind.FleetState)
 	case *peerv1.Control_LeaderQuery:
 		return &peerv1.Control{Kind: &peerv1.Control_LeaderQueryReply{LeaderQueryReply: c.answerQuery()}}, true
 	case *peerv1.Control_ProbeRequest:
-		go c.answerProbe(from, message.Call, kind.ProbeRequest.Address)
+		go c.answerProbe(sender, message.Call, kind.ProbeRequest.Address)
 	default:
 		return nil, false
 	}
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -163,11 +163,11 @@
 		c.observer.Start(c.ctx, c.storeFailedAt)
 	}
 	// The follower's lists become the base of the diffs that this leader sends.
-	l.parts.adoptLists(c.view, c.have)
-	c.have = &peerv1.PartVersions{}
+	l.parts.adoptLists(c.view, c.haveVersions)
+	c.haveVersions = &peerv1.PartVersions{}
 	l.keeper.adoptReady(c.view.Slices, time.Now())
-	c.config.AdoptRepeats(repeatsFromWire(c.repeats), c.heardAt)
-	c.repeats = nil
+	c.config.AdoptRepeats(repeatsFromWire(c.leaderRepeats), c.heartbeatAt)
+	c.leaderRepeats = nil
 	view := *c.view
 	view.Term, view.Leader = l.record.Term, c.config.Self
 	c.publish(&view)
@@ -187,9 +187,9 @@
 	c.lead.stop()
 	c.lead = nil
 	c.observer.Stop()
-	c.heardAt = time.Now().Add(-silentAfter)
+	c.heartbeatAt = time.Now().Add(-silentAfter)
 	c.lookAt = time.Time{}
-	c.yielding = false
+	c.leaderYielding = false
 }
 
 // leadTick checks a leader's timeouts and does the work that is due.
--- a/internal/process/coordinator/member.go
+++ b/internal/process/coordinator/member.go
@@ -39,8 +39,8 @@
 	if c.view.Leader.VM != "" && !now.Before(c.reportAt) {
 		c.report(now)
 	}
-	silent := now.Sub(c.heardAt)
-	if silent < silentAfter && !c.yielding {
+	silent := now.Sub(c.heartbeatAt)
+	if silent < silentAfter && !c.leaderYielding {
 		if c.observer.Watching() {
 			c.observer.Stop()
 		}
@@ -68,7 +68,7 @@
 	c.reportAt = now.Add(c.reportInterval())
 	c.config.Sender.Send(c.view.Leader.VM, &peerv1.Control{Kind: &peerv1.Control_MemberReport{MemberReport: &peerv1.MemberReport{
 		Term: c.view.Term, Address: c.config.Self.Address, ProcessorMillis: c.config.Self.Processor,
-		FailureDomain: c.config.Self.FailureDomain, Have: proto.Clone(c.have).(*peerv1.PartVersions), HeardMillis: c.heardMillis,
+		FailureDomain: c.config.Self.FailureDomain, Have: proto.Clone(c.haveVersions).(*peerv1.PartVersions), HeardMillis: c.leaderUptimeMillis,
 	}}})
 }
 
@@ -80,7 +80,7 @@
 }
 
 // handleState processes a heartbeat of the leader, which may carry parts of its state.
-func (c *Coordinator) handleState(from peer.Peer, state *peerv1.FleetState) {
+func (c *Coordinator) handleState(sender peer.Peer, state *peerv1.FleetState) {
 	now := time.Now()
 	if state.Term < c.view.Term || state.Leader == nil {
 		return
@@ -100,12 +100,12 @@
 	}
 	view.Term = state.Term
 	view.Leader = memberFromWire(state.Leader)
-	c.heard(now)
-	c.heardMillis, c.heardWrite, c.repeats = state.SentMillis, state.RecordWrite, state.Repeats
-	c.lacksStore = state.StoreLost && !state.Leaving
-	c.yielding = state.StoreLost || state.Leaving || state.Outranked && outranks(c.config.Self, view.Leader)
+	c.noteHeartbeat(now)
+	c.leaderUptimeMillis, c.leaderWrite, c.leaderRepeats = state.SentMillis, state.RecordWrite, state.Repeats
+	c.leaderLacksStore = state.StoreLost && !state.Leaving
+	c.leaderYielding = state.StoreLost || state.Leaving || state.Outranked && outranks(c.config.Self, view.Leader)
 	if changed {
-		c.takeParts(&view, state, now)
+		c.applyParts(&view, state, now)
 		c.publish(&view)
 	}
 	if !now.Before(c.reportAt) {
@@ -113,22 +113,22 @@
 	}
 }
 
-// heard records the arrival of a heartbeat.
-func (c *Coordinator) heard(now time.Time) {
-	c.heardAt = now
-	c.heardLast.Store(&now)
+// noteHeartbeat records the arrival of a heartbeat.
+func (c *Coordinator) noteHeartbeat(now time.Time) {
+	c.heartbeatAt = now
+	c.sharedHeartbeatAt.Store(&now)
 }
 
-// takeParts applies the parts that a heartbeat carries to the view. A diff against a
+// applyParts applies the parts that a heartbeat carries to the view. A diff against a
 // version that this VM does not have is ignored; the leader sends the part again,
 // because the next report contains the versions that the VM has.
-func (c *Coordinator) takeParts(view *fleet.View, state *peerv1.FleetState, now time.Time) {
+func (c *Coordinator) applyParts(view *fleet.View, state *peerv1.FleetState, now time.Time) {
 	if state.Config != nil {
-		c.takeConfig(view, state)
+		c.applyConfig(view, state)
 	}
 	targets, sliceList, members := &peerv1.TargetList{}, &peerv1.SliceList{}, &peerv1.MemberList{}
-	if c.takeList(state.Targets, c.have.Targets, targets) {
-		c.have.Targets = state.Versions.Targets
+	if c.decodeList(state.Targets, c.haveVersions.Targets, targets) {
+		c.haveVersions.Targets = state.Versions.Targets
 		view.Targets, view.Evacuated = applyTargets(targets, baseOf(state.Targets, view.Targets), now)
 		if state.Targets.Base == 0 {
 			// The leader sends owners of keys, and whole lists to other VMs, only
@@ -136,20 +136,20 @@
 			c.reportAt = now
 		}
 	}
-	if c.takeList(state.Slices, c.have.Slices, sliceList) {
-		c.have.Slices = state.Versions.Slices
+	if c.decodeList(state.Slices, c.haveVersions.Slices, sliceList) {
+		c.haveVersions.Slices = state.Versions.Slices
 		view.Slices = applySlices(sliceList, baseOf[sliceSet](state.Slices, view.Slices))
 	}
-	if c.takeList(state.Members, c.have.Members, members) {
-		c.have.Members = state.Versions.Members
-		after := applyMembers(members, baseOf(state.Members, memberSet{view.Members, view.Brokers}))
-		view.Members, view.Brokers = after.members, after.brokers
+	if c.decodeList(state.Members, c.haveVersions.Members, members) {
+		c.haveVersions.Members = state.Versions.Members
+		updated := applyMembers(members, baseOf(state.Members, memberSet{view.Members, view.Brokers}))
+		view.Members, view.Brokers = updated.members, updated.brokers
 	}
 }
 
-// takeList decodes a list. It reports false if there is none, if it cannot be decoded,
+// decodeList decodes a list. It reports false if there is none, if it cannot be decoded,
 // or if it is a diff against a version other than have.
-func (c *Coordinator) takeList(part *peerv1.Part, have uint64, list proto.Message) bool {
+func (c *Coordinator) decodeList(part *peerv1.Part, have uint64, list proto.Message) bool {
 	if part == nil || part.Base != 0 && part.Base != have {
 		return false
 	}
@@ -160,8 +160,8 @@
 	return true
 }
 
-// takeConfig applies the leader's configuration to the view if it is newer.
-func (c *Coordinator) takeConfig(view *fleet.View, state *peerv1.FleetState) {
+// applyConfig applies the leader's configuration to the view if it is newer.
+func (c *Coordinator) applyConfig(view *fleet.View, state *peerv1.FleetState) {
 	config := &fleet.Config{}
 	body, err := bodyOf(state.Config)
 	if err == nil {
@@ -171,7 +171,7 @@
 		c.config.Logger.Warn().Err(err).Msg("cannot decode the configuration in the leader's heartbeat")
 		return
 	}
-	c.have.Config = state.Versions.Config
+	c.haveVersions.Config = state.Versions.Config
 	if view.Config == nil || config.Version > view.Config.Version {
 		config.Index()
 		view.Config = config
@@ -183,7 +183,7 @@
 // whether to follow or to take over.
 func (c *Coordinator) look(now time.Time, silent time.Duration) {
 	c.looking = true
-	known, leader, yielding, heardWrite := c.view, c.view.Leader, c.yielding, c.heardWrite
+	known, leader, yielding, heardWrite := c.view, c.view.Leader, c.leaderYielding, c.leaderWrite
 	others := c.others(leader)
 	go func() {
 		ctx, cancel := context.WithTimeout(c.ctx, lookMax)
@@ -265,7 +265,7 @@
 // answerQuery returns this VM's answer to a leader query; on a leader the time since
 // the last heartbeat is 0.
 func (c *Coordinator) answerQuery() *peerv1.LeaderQueryReply {
-	reply := &peerv1.LeaderQueryReply{Term: c.view.Term, HeardMillisAgo: time.Since(c.heardAt).Milliseconds(), Incarnation: c.config.Self.Incarnation}
+	reply := &peerv1.LeaderQueryReply{Term: c.view.Term, HeardMillisAgo: time.Since(c.heartbeatAt).Milliseconds(), Incarnation: c.config.Self.Incarnation}
 	if c.lead != nil {
 		reply.HeardMillisAgo = 0
 	}
@@ -310,8 +310,8 @@
 	default:
 		e.unchangedFor = c.unchangedFor(revision, now)
 		// A heartbeat during the check may have withdrawn it.
-		e.yielding = e.yielding && c.yielding
-		e.storeBack = c.lacksStore && now.Sub(c.storeFailedAt) < storeBackGrace
+		e.yielding = e.yielding && c.leaderYielding
+		e.storeBack = c.leaderLacksStore && now.Sub(c.storeFailedAt) < storeBackGrace
 		may, why := mayTakeOver(e)
 		events.LeaderMissed.Log(c.config.Logger).Uint64("term", record.Term).Str("leader", record.Leader.VM).
 			Dur("silent", e.silentFor).Int("known", e.known).Int("asked", e.asked).Int("answered", e.answered).
@@ -325,20 +325,20 @@
 
 // unchangedFor returns how long this VM has read the record at a revision.
 func (c *Coordinator) unchangedFor(revision int64, now time.Time) time.Duration {
-	if revision != c.seenRevision {
-		c.seenRevision, c.seenSince = revision, now
+	if revision != c.recordRevision {
+		c.recordRevision, c.recordRevisionSince = revision, now
 	}
-	return now.Sub(c.seenSince)
+	return now.Sub(c.recordRevisionSince)
 }
 
 // follow makes this VM follow the leader that the record names.
 func (c *Coordinator) follow(record *fleet.Record, now time.Time) {
 	view := *c.view
 	view.Term, view.Leader = record.Term, record.Leader
-	c.yielding, c.heardMillis, c.heardWrite = false, 0, record.Write
-	if c.heardAt.Before(now.Add(-silentAfter)) {
+	c.leaderYielding, c.leaderUptimeMillis, c.leaderWrite = false, 0, record.Write
+	if c.heartbeatAt.Before(now.Add(-silentAfter)) {
 		// Gives the new leader half of silentAfter to send its first heartbeat.
-		c.heardAt = now.Add(-silentAfter / 2)
+		c.heartbeatAt = now.Add(-silentAfter / 2)
 	}
 	c.publish(&view)
 	c.report(now)
--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -178,7 +178,7 @@
 }
 
 // handleReport processes a VM's report on the leader, and answers with a heartbeat.
-func (c *Coordinator) handleReport(from peer.Peer, report *peerv1.MemberReport) {
+func (c *Coordinator) handleReport(sender peer.Peer, report *peerv1.MemberReport) {
 	l := c.lead
 	if l == nil {
 		return
@@ -188,13 +188,13 @@
 		c.stepDown("a VM knows a higher term")
 		return
 	}
-	m := l.members[from.VM]
-	if m == nil || m.Incarnation != from.Incarnation {
+	m := l.members[sender.VM]
+	if m == nil || m.Incarnation != sender.Incarnation {
 		m = &member{Member: fleet.Member{
-			VM: from.VM, Incarnation: from.Incarnation, Address: report.Address, Processor: report.ProcessorMillis,
+			VM: sender.VM, Incarnation: sender.Incarnation, Address: report.Address, Processor: report.ProcessorMillis,
 			FailureDomain: report.FailureDomain,
 		}, joinedAt: now}
-		l.members[from.VM] = m
+		l.members[sender.VM] = m
 		c.membersChanged()
 	}
 	m.heardAt, m.term = now, report.Term
