--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -111,9 +111,9 @@
 	storeFailedAt    time.Time
 	// haveVersions are the versions of the parts of the leader's state that this VM has.
 	haveVersions *peerv1.PartVersions
-	// lookAt is when the next check of the leader record is due; zero while
+	// checkAt is when the next check of the leader record is due; zero while
 	// heartbeats arrive.
-	lookAt time.Time
+	checkAt time.Time
 	// leaderUptimeMillis is the leader's uptime in milliseconds in its last heartbeat; 0 if
 	// there was none.
 	leaderUptimeMillis uint64
@@ -124,10 +124,10 @@
 	// it was first read at that revision.
 	recordRevision      int64
 	recordRevisionSince time.Time
-	// lookPause is the pause before the next check of the record.
-	lookPause time.Duration
-	// looking is set while a check of the record or a takeover is in flight.
-	looking bool
+	// checkPause is the pause before the next check of the record.
+	checkPause time.Duration
+	// checking is set while a check of the record or a takeover is in flight.
+	checking bool
 
 	// lead is the leader's state; nil on a follower.
 	lead *leadership
@@ -137,7 +137,7 @@
 
 // New returns a coordinator that does nothing until Start is called.
 func New(config Config) *Coordinator {
-	c := &Coordinator{config: config, view: &fleet.View{}, haveVersions: &peerv1.PartVersions{}, lookPause: lookMin}
+	c := &Coordinator{config: config, view: &fleet.View{}, haveVersions: &peerv1.PartVersions{}, checkPause: checkPauseMin}
 	c.observer = observer.New(observer.Config{
 		Names: config.Names, Store: config.Store, Loop: config.Loop, Logger: config.Logger,
 		Changed: c.declarationsChanged, Contact: c.storeContact,
@@ -151,8 +151,8 @@
 	c.config.Loop.Post(func() {
 		now := time.Now()
 		c.startedAt = now
-		c.heartbeatAt = now.Add(-silentAfter)
-		c.lookAt = now.Add(rankDelay(c.config.Self, c.view))
+		c.heartbeatAt = now.Add(-heartbeatTimeout)
+		c.checkAt = now.Add(rankDelay(c.config.Self, c.view))
 	})
 	c.config.Loop.Every(ctx, tickEvery, c.tick)
 }
@@ -173,7 +173,7 @@
 // heartbeat timeout. It may be called from any goroutine.
 func (c *Coordinator) HearsLeader() bool {
 	at := c.sharedHeartbeatAt.Load()
-	return at != nil && time.Since(*at) < silentAfter
+	return at != nil && time.Since(*at) < heartbeatTimeout
 }
 
 // tick checks the timeouts of a leader or of a follower.
@@ -232,7 +232,7 @@
 	case *peerv1.Control_FleetState:
 		c.handleState(sender, kind.FleetState)
 	case *peerv1.Control_LeaderQuery:
-		return &peerv1.Control{Kind: &peerv1.Control_LeaderQueryReply{LeaderQueryReply: c.answerQuery()}}, true
+		return &peerv1.Control{Kind: &peerv1.Control_LeaderQueryReply{LeaderQueryReply: c.answerLeaderQuery()}}, true
 	case *peerv1.Control_ProbeRequest:
 		go c.answerProbe(sender, message.Call, kind.ProbeRequest.Address)
 	default:
--- a/internal/process/coordinator/election.go
+++ b/internal/process/coordinator/election.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// silentAfter is the time without a heartbeat of the leader after which a VM
+	// heartbeatTimeout is the time without a heartbeat of the leader after which a VM
 	// checks whether to take over: three heartbeats.
-	silentAfter = 800 * time.Millisecond
-	// aloneAfter is the time without a change of the record after which a VM that
+	heartbeatTimeout = 800 * time.Millisecond
+	// isolatedRecordTimeout is the time without a change of the record after which a VM that
 	// no other VM answers takes over. A leader that reaches the store writes the
 	// record every 0.6 s.
-	aloneAfter = 3500 * time.Millisecond
-	// staleAfter is the same time if other VMs answer and most of them receive no
+	isolatedRecordTimeout = 3500 * time.Millisecond
+	// recordTimeout is the same time if other VMs answer and most of them receive no
 	// heartbeats either: two writes of the leader are missing.
-	staleAfter = 1300 * time.Millisecond
-	// storeBackGrace is the time after the store's return to a VM within which a
+	recordTimeout = 1300 * time.Millisecond
+	// storeReturnGrace is the time after the store's return to a VM within which a
 	// leader that had lost the store too should reach it again: the timeout of a
 	// write that hangs, and the pause after it.
-	storeBackGrace = 2 * time.Second
-	// hearingShare is n in "1/n": a leader stays if at least one in n of the VMs
+	storeReturnGrace = 2 * time.Second
+	// keepLeaderDivisor is n in "1/n": a leader stays if at least one in n of the VMs
 	// that answer receives its heartbeats.
-	hearingShare = 3
+	keepLeaderDivisor = 3
 	// rankStep is the delay between VMs of successive ranks that check the record,
 	// so that one has taken over before the next reads the store. lateStep is the
 	// delay between those ranked after the first firstRanks.
-	rankStep   = 40 * time.Millisecond
-	lateStep   = 10 * time.Millisecond
-	firstRanks = 10
-	// smallDelay is the additional delay of a VM that another outranks, so that
+	rankStep    = 40 * time.Millisecond
+	lowRankStep = 10 * time.Millisecond
+	topRanks    = 10
+	// outrankedDelay is the additional delay of a VM that another outranks, so that
 	// several of the larger VMs can try first.
-	smallDelay = 500 * time.Millisecond
-	// outrankedBy is the factor by which another VM's share of a processor has to be
+	outrankedDelay = 500 * time.Millisecond
+	// outrankFactor is the factor by which another VM's share of a processor has to be
 	// larger, at least, for that VM to lead instead.
-	outrankedBy = 2
+	outrankFactor = 2
 	// settledAfter is how long a larger VM must have followed, and this VM led,
 	// before the leadership is handed over to it.
 	settledAfter = 3 * time.Second
 	// startSpread bounds the delay of a VM that knows no others, spread by its name;
 	// startSmall bounds its additional delay if it has less than a whole core.
-	startSpread = 100 * time.Millisecond
-	startSmall  = 200 * time.Millisecond
-	// lookMin and lookMax bound the backoff between two checks of the record. lookMax
+	startSpread     = 100 * time.Millisecond
+	startSmallDelay = 200 * time.Millisecond
+	// checkPauseMin and lookMax bound the backoff between two checks of the record. lookMax
 	// also bounds the read itself.
-	lookMin = 150 * time.Millisecond
-	lookMax = 900 * time.Millisecond
+	checkPauseMin = 150 * time.Millisecond
+	checkPauseMax = 900 * time.Millisecond
 )
 
 // evidence is what a VM knows about a leader whose heartbeats are missing.
@@ -59,40 +59,40 @@
 	// yielding is set if the leader has asked this VM to take over: it is shutting
 	// down, cannot reach the store, or is outranked.
 	yielding bool
-	// storeBack is set if the leader yields only because it lost the store, and this
+	// storeReturned is set if the leader yields only because it lost the store, and this
 	// VM has itself regained the store within storeBackGrace.
-	storeBack bool
+	storeReturned bool
 	// known counts the other VMs; asked, those that were queried; answered, those
-	// of them that answered; deaf, those of them that receive no heartbeats of the
-	// leader either. dead counts the queried VMs whose port refused the connection.
-	known, asked, answered, deaf, dead int
+	// of them that answered; withoutLeader, those of them that receive no heartbeats of the
+	// leader either. refused counts the queried VMs whose port refused the connection.
+	known, asked, answered, withoutLeader, refused int
 	// silentFor is the time since the leader's last heartbeat.
 	silentFor time.Duration
-	// written is set if the leader has written the record since its last heartbeat.
-	written bool
-	// unchangedFor is how long this VM has read the record at the same revision.
-	unchangedFor time.Duration
+	// recordWritten is set if the leader has recordWritten the record since its last heartbeat.
+	recordWritten bool
+	// recordUnchangedFor is how long this VM has read the record at the same revision.
+	recordUnchangedFor time.Duration
 }
 
 // mayTakeOver decides whether a VM becomes the leader, and returns the reason. A
 // leader that only some of the VMs cannot hear from stays in place: VMs that are
 // partitioned off together must not take the leadership away from the others.
 func mayTakeOver(e evidence) (bool, string) {
-	hearing := e.answered - e.deaf
+	withLeader := e.answered - e.withoutLeader
 	switch {
-	case e.yielding && e.storeBack:
+	case e.yielding && e.storeReturned:
 		return false, "store-is-back"
 	case e.yielding:
 		return true, "leader-yields"
-	case hearing > 0 && hearingShare*hearing >= e.answered:
+	case withLeader > 0 && keepLeaderDivisor*withLeader >= e.answered:
 		return false, "others-hear"
 	case e.ended:
 		return true, "process-ended"
-	case e.silentFor < silentAfter:
+	case e.silentFor < heartbeatTimeout:
 		return false, "heard"
-	case e.asked > 0 && 2*(e.deaf+1) > e.voters():
+	case e.asked > 0 && 2*(e.withoutLeader+1) > e.voters():
 		return true, "most-do-not-hear"
-	case e.answered > 0 && e.unchangedFor >= staleAfter, e.unchangedFor >= aloneAfter:
+	case e.answered > 0 && e.recordUnchangedFor >= recordTimeout, e.recordUnchangedFor >= isolatedRecordTimeout:
 		return true, "record-unchanged"
 	}
 	return false, "too-early"
@@ -102,10 +102,10 @@
 // lost the leader. VMs whose port refuses connections count as lost together with
 // the leader, unless the leader writes the record: then this VM is partitioned off.
 func (e *evidence) voters() int {
-	if e.written {
+	if e.recordWritten {
 		return e.asked + 1
 	}
-	return e.asked - e.dead + 1
+	return e.asked - e.refused + 1
 }
 
 // rankDelay is how long a VM waits before it checks whether to take over. A leader
@@ -115,28 +115,28 @@
 	if len(view.Members) <= 1 {
 		return startDelay(self)
 	}
-	ahead, small := 0, false
+	ahead, outranked := 0, false
 	for vm, m := range view.Members {
 		if vm == self.VM || vm == view.Leader.VM {
 			continue
 		}
-		small = small || outranks(m, self)
+		outranked = outranked || outranks(m, self)
 		if ranksBefore(m, self, view.Term) {
 			ahead++
 		}
 	}
-	delay := time.Duration(min(ahead, firstRanks))*rankStep + time.Duration(max(ahead-firstRanks, 0))*lateStep
-	if small {
-		delay += smallDelay
+	delay := time.Duration(min(ahead, topRanks))*rankStep + time.Duration(max(ahead-topRanks, 0))*lowRankStep
+	if outranked {
+		delay += outrankedDelay
 	}
 	return delay
 }
 
 // startDelay is the delay of a VM that knows no others yet.
 func startDelay(self fleet.Member) time.Duration {
-	share := min(float64(self.Processor)/fleet.WholeCore, 1)
+	coreShare := min(float64(self.Processor)/fleet.WholeCore, 1)
 	spread := float64(xxh3.HashString(self.VM)%10) / 10
-	return time.Duration(spread*float64(startSpread) + (1-share)*float64(startSmall))
+	return time.Duration(spread*float64(startSpread) + (1-coreShare)*float64(startSmallDelay))
 }
 
 // ranksBefore reports whether VM a tries to take over before VM b.
@@ -151,7 +151,7 @@
 // outranks reports whether VM a is so much larger than VM b that it should lead
 // instead.
 func outranks(a, b fleet.Member) bool {
-	return a.Processor > 0 && a.Processor >= outrankedBy*b.Processor
+	return a.Processor > 0 && a.Processor >= outrankFactor*b.Processor
 }
 
 // isOutranked reports whether a larger VM, which has followed for a while and still
@@ -161,7 +161,7 @@
 		return false
 	}
 	for _, m := range l.members {
-		if outranks(m.Member, l.record.Leader) && now.Sub(m.joinedAt) > settledAfter && now.Sub(m.heardAt) < silentAfter {
+		if outranks(m.Member, l.record.Leader) && now.Sub(m.joinedAt) > settledAfter && now.Sub(m.heardAt) < heartbeatTimeout {
 			return true
 		}
 	}
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -112,12 +112,12 @@
 	record.Write = 1
 	given := fencesAfter(former)
 	record.LastFence = given.last
-	c.looking = true
+	c.checking = true
 	began := c.config.Uptime()
 	go func() {
 		version, err := c.writeRecord(&record, revision)
 		c.config.Loop.Post(func() {
-			c.looking = false
+			c.checking = false
 			if err != nil {
 				events.TakeoverFailed.Log(c.config.Logger).Uint64("term", record.Term).Str("reason", why).Err(err).Send()
 				return
@@ -187,8 +187,8 @@
 	c.lead.stop()
 	c.lead = nil
 	c.observer.Stop()
-	c.heartbeatAt = time.Now().Add(-silentAfter)
-	c.lookAt = time.Time{}
+	c.heartbeatAt = time.Now().Add(-heartbeatTimeout)
+	c.checkAt = time.Time{}
 	c.leaderYielding = false
 }
 
--- a/internal/process/coordinator/member.go
+++ b/internal/process/coordinator/member.go
@@ -23,14 +23,14 @@
 	// largeFleet is the number of VMs above which reports are half as frequent and
 	// details are sent less often.
 	largeFleet = 40
-	// askTimeout bounds a query to another VM.
-	askTimeout = 250 * time.Millisecond
-	// askCount is the number of VMs that are asked whether they hear from the leader:
+	// queryTimeout bounds a query to another VM.
+	queryTimeout = 250 * time.Millisecond
+	// queryCount is the number of VMs that are asked whether they hear from the leader:
 	// enough that VMs partitioned off together do not count as a majority.
-	askCount = 9
-	// watchAfter is the time without a heartbeat after which a VM watches the store
+	queryCount = 9
+	// watchStoreAfter is the time without a heartbeat after which a VM watches the store
 	// itself.
-	watchAfter = 2 * time.Second
+	watchStoreAfter = 2 * time.Second
 )
 
 // followTick reports to the leader, and checks whether to take over if its heartbeats
@@ -39,27 +39,27 @@
 	if c.view.Leader.VM != "" && !now.Before(c.reportAt) {
 		c.report(now)
 	}
-	silent := now.Sub(c.heartbeatAt)
-	if silent < silentAfter && !c.leaderYielding {
+	silentFor := now.Sub(c.heartbeatAt)
+	if silentFor < heartbeatTimeout && !c.leaderYielding {
 		if c.observer.Watching() {
 			c.observer.Stop()
 		}
-		c.lookAt = time.Time{}
+		c.checkAt = time.Time{}
 		return
 	}
-	if silent > watchAfter && now.Sub(c.startedAt) > watchAfter && !c.observer.Watching() {
+	if silentFor > watchStoreAfter && now.Sub(c.startedAt) > watchStoreAfter && !c.observer.Watching() {
 		c.observer.Seed(c.view)
 		c.observer.Start(c.ctx, c.storeFailedAt)
 	}
 	if c.observer.Watching() && c.observer.Tick(now) {
 		c.publishObserved()
 	}
-	if c.lookAt.IsZero() {
-		c.lookAt = now.Add(rankDelay(c.config.Self, c.view))
-		c.lookPause = lookMin
+	if c.checkAt.IsZero() {
+		c.checkAt = now.Add(rankDelay(c.config.Self, c.view))
+		c.checkPause = checkPauseMin
 	}
-	if !c.looking && !now.Before(c.lookAt) {
-		c.look(now, silent)
+	if !c.checking && !now.Before(c.checkAt) {
+		c.checkLeader(now, silentFor)
 	}
 }
 
@@ -179,37 +179,37 @@
 	}
 }
 
-// look reads the record and queries other VMs about the leader. Then looked decides
+// checkLeader reads the record and queries other VMs about the leader. Then looked decides
 // whether to follow or to take over.
-func (c *Coordinator) look(now time.Time, silent time.Duration) {
-	c.looking = true
-	known, leader, yielding, heardWrite := c.view, c.view.Leader, c.leaderYielding, c.leaderWrite
-	others := c.others(leader)
+func (c *Coordinator) checkLeader(now time.Time, silentFor time.Duration) {
+	c.checking = true
+	view, leader, yielding, leaderWrite := c.view, c.view.Leader, c.leaderYielding, c.leaderWrite
+	others := c.otherVMs(leader)
 	go func() {
-		ctx, cancel := context.WithTimeout(c.ctx, lookMax)
+		ctx, cancel := context.WithTimeout(c.ctx, checkPauseMax)
 		defer cancel()
 		object, err := c.config.Store.Get(ctx, c.config.RecordName)
 		var record *fleet.Record
 		if err == nil {
 			record, err = decodeRecord(object.Value)
 		}
-		e := evidence{known: len(others), silentFor: silent}
-		if record != nil && record.Term == known.Term && record.Leader.Incarnation == leader.Incarnation {
+		e := evidence{known: len(others), silentFor: silentFor}
+		if record != nil && record.Term == view.Term && record.Leader.Incarnation == leader.Incarnation {
 			// The record still names the leader that this VM follows, so what is
 			// known of that leader applies.
 			e.yielding = yielding
-			e.written = record.Write > heardWrite
-			c.ask(&e, others, known.Term)
+			e.recordWritten = record.Write > leaderWrite
+			c.queryVMs(&e, others, view.Term)
 		}
 		if record != nil {
-			e.ended, e.replaced = c.ended(record.Leader, known)
+			e.ended, e.replaced = c.leaderEnded(record.Leader, view)
 		}
-		c.config.Loop.Post(func() { c.looked(record, object.Version, err, e) })
+		c.config.Loop.Post(func() { c.leaderChecked(record, object.Version, err, e) })
 	}()
 }
 
-// others returns the known VMs, in arbitrary order, without this one and the leader.
-func (c *Coordinator) others(leader fleet.Member) []string {
+// otherVMs returns the known VMs, in arbitrary order, without this one and the leader.
+func (c *Coordinator) otherVMs(leader fleet.Member) []string {
 	var found []string
 	for vm := range c.view.Members {
 		if vm != c.config.Self.VM && vm != leader.VM {
@@ -219,18 +219,18 @@
 	return found
 }
 
-// ask queries up to askCount VMs whether they receive heartbeats of the leader of a
+// queryVMs queries up to askCount VMs whether they receive heartbeats of the leader of a
 // term, and counts the answers in e.
-func (c *Coordinator) ask(e *evidence, others []string, term uint64) {
+func (c *Coordinator) queryVMs(e *evidence, others []string, term uint64) {
 	type answer struct {
 		reply *peerv1.LeaderQueryReply
 		err   error
 	}
-	answers := make(chan answer, askCount)
-	e.asked = min(len(others), askCount)
+	answers := make(chan answer, queryCount)
+	e.asked = min(len(others), queryCount)
 	for _, vm := range others[:e.asked] {
 		go func() {
-			reply, err := c.queryLeader(vm)
+			reply, err := c.sendLeaderQuery(vm)
 			answers <- answer{reply, err}
 		}()
 	}
@@ -238,33 +238,33 @@
 		a := <-answers
 		switch {
 		case errors.Is(a.err, syscall.ECONNREFUSED):
-			e.dead++
+			e.refused++
 		case a.reply != nil:
 			e.answered++
-			if a.reply.Term == term && (a.reply.HeardMillisAgo < 0 || a.reply.HeardMillisAgo > silentAfter.Milliseconds()*3/4) {
-				e.deaf++
+			if a.reply.Term == term && (a.reply.HeardMillisAgo < 0 || a.reply.HeardMillisAgo > heartbeatTimeout.Milliseconds()*3/4) {
+				e.withoutLeader++
 			}
 		}
 	}
 }
 
-// queryLeader asks a VM, by its name or address, for its term, its incarnation and the
+// sendLeaderQuery asks a VM, by its name or address, for its term, its incarnation and the
 // time since the last heartbeat that it received.
-func (c *Coordinator) queryLeader(vm string) (*peerv1.LeaderQueryReply, error) {
+func (c *Coordinator) sendLeaderQuery(vm string) (*peerv1.LeaderQueryReply, error) {
 	reply, err := c.call(vm, &peerv1.Control{Kind: &peerv1.Control_LeaderQuery{LeaderQuery: &peerv1.LeaderQuery{}}})
 	return reply.GetLeaderQueryReply(), err
 }
 
 // call sends a request to another VM and waits up to askTimeout for the reply.
 func (c *Coordinator) call(vm string, question *peerv1.Control) (*peerv1.Control, error) {
-	ctx, cancel := context.WithTimeout(c.ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(c.ctx, queryTimeout)
 	defer cancel()
 	return c.config.Sender.Call(ctx, vm, question)
 }
 
-// answerQuery returns this VM's answer to a leader query; on a leader the time since
+// answerLeaderQuery returns this VM's answer to a leader query; on a leader the time since
 // the last heartbeat is 0.
-func (c *Coordinator) answerQuery() *peerv1.LeaderQueryReply {
+func (c *Coordinator) answerLeaderQuery() *peerv1.LeaderQueryReply {
 	reply := &peerv1.LeaderQueryReply{Term: c.view.Term, HeardMillisAgo: time.Since(c.heartbeatAt).Milliseconds(), Incarnation: c.config.Self.Incarnation}
 	if c.lead != nil {
 		reply.HeardMillisAgo = 0
@@ -272,32 +272,32 @@
 	return reply
 }
 
-// ended reports whether the process of a leader has ended; replaced is set if another
+// leaderEnded reports whether the process of a leader has leaderEnded; replaced is set if another
 // incarnation answers at its address. It runs outside the loop.
-func (c *Coordinator) ended(leader fleet.Member, known *fleet.View) (ended, replaced bool) {
+func (c *Coordinator) leaderEnded(leader fleet.Member, view *fleet.View) (ended, replaced bool) {
 	if leader.VM == c.config.Self.VM {
 		replaced = leader.Incarnation != c.config.Self.Incarnation
 		return replaced, replaced
 	}
-	reply, err := c.queryLeader(leader.Address)
+	reply, err := c.sendLeaderQuery(leader.Address)
 	if err != nil {
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			return false, false
 		}
-		return c.portClosed(leader.Address, c.chooseWitnesses(leader.FailureDomain, known, leader.VM)), false
+		return c.portClosed(leader.Address, c.chooseWitnesses(leader.FailureDomain, view, leader.VM)), false
 	}
 	incarnation := reply.GetIncarnation()
 	replaced = incarnation != "" && incarnation != leader.Incarnation
 	return replaced, replaced
 }
 
-// looked decides, after a check of the record, whether to follow the leader that it
+// leaderChecked decides, after a check of the record, whether to follow the leader that it
 // names, to take over, or to wait.
-func (c *Coordinator) looked(record *fleet.Record, revision int64, err error, e evidence) {
-	c.looking = false
+func (c *Coordinator) leaderChecked(record *fleet.Record, revision int64, err error, e evidence) {
+	c.checking = false
 	now := time.Now()
-	c.lookAt = now.Add(c.lookPause)
-	c.lookPause = min(2*c.lookPause, lookMax)
+	c.checkAt = now.Add(c.checkPause)
+	c.checkPause = min(2*c.checkPause, checkPauseMax)
 	switch {
 	case c.lead != nil || c.leaving:
 	case fault.Is(err, fault.NotFound):
@@ -308,14 +308,14 @@
 	case record.Term > c.view.Term && !e.ended:
 		c.follow(record, now)
 	default:
-		e.unchangedFor = c.unchangedFor(revision, now)
+		e.recordUnchangedFor = c.recordUnchangedFor(revision, now)
 		// A heartbeat during the check may have withdrawn it.
 		e.yielding = e.yielding && c.leaderYielding
-		e.storeBack = c.leaderLacksStore && now.Sub(c.storeFailedAt) < storeBackGrace
+		e.storeReturned = c.leaderLacksStore && now.Sub(c.storeFailedAt) < storeReturnGrace
 		may, why := mayTakeOver(e)
 		events.LeaderMissed.Log(c.config.Logger).Uint64("term", record.Term).Str("leader", record.Leader.VM).
 			Dur("silent", e.silentFor).Int("known", e.known).Int("asked", e.asked).Int("answered", e.answered).
-			Int("deaf", e.deaf).Int("dead", e.dead).Bool("written", e.written).Dur("record_unchanged", e.unchangedFor).
+			Int("deaf", e.withoutLeader).Int("dead", e.refused).Bool("written", e.recordWritten).Dur("record_unchanged", e.recordUnchangedFor).
 			Bool("ended", e.ended).Bool("yielding", e.yielding).Bool("takes_over", may).Str("reason", why).Send()
 		if may {
 			c.takeOver(record, revision, why, e.replaced && !e.yielding)
@@ -323,8 +323,8 @@
 	}
 }
 
-// unchangedFor returns how long this VM has read the record at a revision.
-func (c *Coordinator) unchangedFor(revision int64, now time.Time) time.Duration {
+// recordUnchangedFor returns how long this VM has read the record at a revision.
+func (c *Coordinator) recordUnchangedFor(revision int64, now time.Time) time.Duration {
 	if revision != c.recordRevision {
 		c.recordRevision, c.recordRevisionSince = revision, now
 	}
@@ -336,9 +336,9 @@
 	view := *c.view
 	view.Term, view.Leader = record.Term, record.Leader
 	c.leaderYielding, c.leaderUptimeMillis, c.leaderWrite = false, 0, record.Write
-	if c.heartbeatAt.Before(now.Add(-silentAfter)) {
+	if c.heartbeatAt.Before(now.Add(-heartbeatTimeout)) {
 		// Gives the new leader half of silentAfter to send its first heartbeat.
-		c.heartbeatAt = now.Add(-silentAfter / 2)
+		c.heartbeatAt = now.Add(-heartbeatTimeout / 2)
 	}
 	c.publish(&view)
 	c.report(now)
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -235,26 +235,26 @@
 
 // TestTakeOverDecision checks on which evidence a VM may take over from the leader.
 func TestTakeOverDecision(t *testing.T) {
-	silent := 2 * silentAfter
+	silent := 2 * heartbeatTimeout
 	for name, c := range map[string]struct {
 		evidence
 		may bool
 	}{
-		"recent heartbeat": {evidence{silentFor: silentAfter / 2}, false},
+		"recent heartbeat": {evidence{silentFor: heartbeatTimeout / 2}, false},
 		"leader yields":    {evidence{yielding: true}, true},
-		"leader yields, but the store is just back":                {evidence{yielding: true, storeBack: true}, false},
+		"leader yields, but the store is just back":                {evidence{yielding: true, storeReturned: true}, false},
 		"leader process has ended":                                 {evidence{ended: true, silentFor: silent}, true},
-		"refuses connections here, heartbeats elsewhere":           {evidence{ended: true, silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 2}, false},
-		"no VM gets heartbeats":                                    {evidence{silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 3}, true},
-		"one VM of three gets heartbeats":                          {evidence{silentFor: silent, known: 5, asked: 3, answered: 3, deaf: 2}, false},
-		"one VM of nine gets heartbeats":                           {evidence{silentFor: silent, known: 20, asked: 9, answered: 9, deaf: 8}, true},
+		"refuses connections here, heartbeats elsewhere":           {evidence{ended: true, silentFor: silent, known: 5, asked: 3, answered: 3, withoutLeader: 2}, false},
+		"no VM gets heartbeats":                                    {evidence{silentFor: silent, known: 5, asked: 3, answered: 3, withoutLeader: 3}, true},
+		"one VM of three gets heartbeats":                          {evidence{silentFor: silent, known: 5, asked: 3, answered: 3, withoutLeader: 2}, false},
+		"one VM of nine gets heartbeats":                           {evidence{silentFor: silent, known: 20, asked: 9, answered: 9, withoutLeader: 8}, true},
 		"no VM answers":                                            {evidence{silentFor: silent, known: 5, asked: 5}, false},
-		"no VM answers, record long unchanged":                     {evidence{silentFor: 4 * silent, known: 5, asked: 5, unchangedFor: aloneAfter}, true},
-		"no VM answers, record changed lately":                     {evidence{silentFor: 10 * silent, known: 5, asked: 5, unchangedFor: aloneAfter / 2}, false},
-		"a third of the VMs is cut off together":                   {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3}, false},
-		"leader lost together with most VMs":                       {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3, dead: 6}, true},
-		"this VM is cut off by refused connections, leader writes": {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, deaf: 3, dead: 6, written: true}, false},
-		"few VMs answer, record unchanged":                         {evidence{silentFor: silent, known: 20, asked: 9, answered: 2, deaf: 2, unchangedFor: staleAfter}, true},
+		"no VM answers, record long unchanged":                     {evidence{silentFor: 4 * silent, known: 5, asked: 5, recordUnchangedFor: isolatedRecordTimeout}, true},
+		"no VM answers, record changed lately":                     {evidence{silentFor: 10 * silent, known: 5, asked: 5, recordUnchangedFor: isolatedRecordTimeout / 2}, false},
+		"a third of the VMs is cut off together":                   {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, withoutLeader: 3}, false},
+		"leader lost together with most VMs":                       {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, withoutLeader: 3, refused: 6}, true},
+		"this VM is cut off by refused connections, leader writes": {evidence{silentFor: silent, known: 20, asked: 9, answered: 3, withoutLeader: 3, refused: 6, recordWritten: true}, false},
+		"few VMs answer, record unchanged":                         {evidence{silentFor: silent, known: 20, asked: 9, answered: 2, withoutLeader: 2, recordUnchangedFor: recordTimeout}, true},
 	} {
 		may, why := mayTakeOver(c.evidence)
 		assert.Equal(t, may, c.may, "%s: %s", name, why)
