--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -140,7 +140,7 @@
 	c := &Coordinator{config: config, view: &fleet.View{}, haveVersions: &peerv1.PartVersions{}, checkPause: checkPauseMin}
 	c.observer = observer.New(observer.Config{
 		Names: config.Names, Store: config.Store, Loop: config.Loop, Logger: config.Logger,
-		Changed: c.declarationsChanged, Contact: c.storeContact,
+		Changed: c.declarationsChanged, Contact: c.noteStoreAnswer,
 	})
 	return c
 }
@@ -196,10 +196,10 @@
 	c.publishObserved()
 }
 
-// storeContact records on a leader whether a call to the store was answered.
-func (c *Coordinator) storeContact(err error) {
+// noteStoreAnswer records on a leader whether a call to the store was answered.
+func (c *Coordinator) noteStoreAnswer(err error) {
 	if c.lead != nil {
-		c.lead.storeContact(err, time.Now())
+		c.lead.noteStoreAnswer(err, time.Now())
 	}
 }
 
--- a/internal/process/coordinator/election.go
+++ b/internal/process/coordinator/election.go
@@ -157,7 +157,7 @@
 // isOutranked reports whether a larger VM, which has followed for a while and still
 // reports, should take over.
 func (l *leadership) isOutranked(now time.Time) bool {
-	if now.Sub(l.since) < settledAfter {
+	if now.Sub(l.leadingSince) < settledAfter {
 		return false
 	}
 	for _, m := range l.members {
--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -50,10 +50,10 @@
 	if !c.mayAct() {
 		return
 	}
-	for _, s := range l.keeper.expireFormerOwners(now) {
+	for _, s := range l.leaseTable.expireFormerOwners(now) {
 		events.GrantsRanOut.Log(c.config.Logger).Int("first", int(s.First)).Int("last", int(s.Last)).Uint64("fence", s.Fence).Send()
 	}
-	if l.keeper.expireReady(now) {
+	if l.leaseTable.expireReady(now) {
 		c.publishSlices()
 	}
 	if !l.writing && !now.Before(l.planAt) {
@@ -64,7 +64,7 @@
 
 // sendDueOrders sends the orders that are due.
 func (c *Coordinator) sendDueOrders(now time.Time) {
-	lt, confirmedUptime := c.lead.keeper, time.Duration(0)
+	lt, confirmedUptime := c.lead.leaseTable, time.Duration(0)
 	if len(lt.minConfirmedUptime) > 0 {
 		confirmedUptime = c.recentlyConfirmedAt()
 	}
@@ -77,7 +77,7 @@
 // or 0 if that is too long ago. An answer of the store may arrive so late that another
 // leader has moved keys in the meantime.
 func (c *Coordinator) recentlyConfirmedAt() time.Duration {
-	at := c.confirmedAt()
+	at := c.leadershipConfirmedAt()
 	if c.config.Uptime()-at > maxConfirmationReports*c.reportInterval() {
 		return 0
 	}
@@ -88,7 +88,7 @@
 // them, once the declarations have had time to arrive.
 func (c *Coordinator) planMoves(now time.Time) {
 	l := c.lead
-	if now.Sub(l.since) <= declarationWait {
+	if now.Sub(l.leadingSince) <= declarationWait {
 		return
 	}
 	l.planAt = now.Add(planInterval)
@@ -99,7 +99,7 @@
 		}
 		owners := c.owners(service, now)
 		var moves []keyspace.Move
-		current := l.keeper.slices[service.Name]
+		current := l.leaseTable.slices[service.Name]
 		if len(current) == 0 {
 			moves = keyspace.Initial(owners)
 		} else {
@@ -140,7 +140,7 @@
 // capacity returns the number of slots of a target, reduced if it is slow, failing or
 // cold; 0 if it must not own keys.
 func (c *Coordinator) capacity(t *fleet.Target, observed admission.Observation, now time.Time) float64 {
-	if !c.view.Usable(t) || c.lead.keeper.endedTargets[t.Life] {
+	if !c.view.Usable(t) || c.lead.leaseTable.endedTargets[t.Life] {
 		return 0
 	}
 	capacity := float64(t.Slots)
@@ -157,10 +157,10 @@
 // writeMoves writes moves to the record and starts them once they are written.
 func (c *Coordinator) writeMoves(service string, current []fleet.Slice, moves []keyspace.Move) {
 	l := c.lead
-	firstFence := l.keeper.fences.next
-	list := keyspace.Apply(current, moves, l.keeper.fences.allocate)
-	nextFence := l.keeper.fences.next
-	c.write(l.next(service, list), func(err error) {
+	firstFence := l.leaseTable.fences.next
+	list := keyspace.Apply(current, moves, l.leaseTable.fences.allocate)
+	nextFence := l.leaseTable.fences.next
+	c.updateRecord(l.withSlices(service, list), func(err error) {
 		if err != nil {
 			events.MovesNotWritten.Log(c.config.Logger).Str("service", service).Int("moves", len(moves)).Err(err).Send()
 			return
@@ -177,8 +177,8 @@
 		events.MovePlanned.Log(c.config.Logger).Str("service", service).Int("first", int(m.First)).Int("last", int(m.Last)).
 			Str("to", m.To.ID).Bool("joins", m.Joins).Uint64("term", l.record.Term).Int64("revision", l.revision).Send()
 	}
-	l.keeper.applyMoves(service, l.record.Slices[service], planned)
-	c.noteLives(c.view.Targets, time.Now())
+	l.leaseTable.applyMoves(service, l.record.Slices[service], planned)
+	c.noteRestarts(c.view.Targets, time.Now())
 	c.publishSlices()
 	c.sendDueOrders(time.Now())
 }
@@ -224,7 +224,7 @@
 	l := c.lead
 	view := *c.view
 	view.Slices = map[string][]fleet.Slice{}
-	for service, list := range l.keeper.slices {
+	for service, list := range l.leaseTable.slices {
 		view.Slices[service] = append([]fleet.Slice(nil), list...)
 	}
 	l.parts.setSlices(view.Slices)
@@ -237,13 +237,13 @@
 	known := c.view.Targets[t.target.ID]
 	if known == nil || known.Life != t.target || !c.mayAct() {
 		// Without the incarnation's address, its grants have to expire.
-		l.keeper.orderFailed(t, time.Now())
+		l.leaseTable.orderFailed(t, time.Now())
 		return
 	}
 	to := *known
 	go func() {
 		began := time.Now()
-		handover, err := c.callTarget(l.orders, t, to)
+		handover, err := c.callTarget(l.orderContext, t, to)
 		c.config.Loop.Post(func() {
 			if c.lead == l {
 				c.orderDone(t, handover, err, began)
@@ -272,7 +272,7 @@
 
 // orderDone handles the result of an order that was sent at began.
 func (c *Coordinator) orderDone(t task, handover string, err error, began time.Time) {
-	lt := c.lead.keeper
+	lt := c.lead.leaseTable
 	now := time.Now()
 	changed, newFence := false, uint64(0)
 	switch {
@@ -292,7 +292,7 @@
 		lt.orderFailed(t, now)
 		refused := !errors.Is(err, target.ErrProcessUnknown)
 		if refused && lt.provesNewerLeader(t) {
-			c.lead.outdone(c.config.Uptime())
+			c.lead.noteLaterLeader(c.config.Uptime())
 		}
 		newFence = lt.handleConflict(t, refused, now, c.config.Uptime())
 		changed = newFence != 0
@@ -351,11 +351,11 @@
 	if l == nil {
 		return
 	}
-	s := fleet.Find(l.keeper.slices[service], key)
-	if s == nil || s.Owner != life || !s.Ready || time.Since(l.keeper.readySince[idOf(s)]) < minReadyTime {
+	s := fleet.Find(l.leaseTable.slices[service], key)
+	if s == nil || s.Owner != life || !s.Ready || time.Since(l.leaseTable.readySince[idOf(s)]) < minReadyTime {
 		return
 	}
-	if l.keeper.refence(s, c.config.Uptime()) {
+	if l.leaseTable.refence(s, c.config.Uptime()) {
 		s.Ready = false
 		c.publishSlicesSoon()
 	}
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// authority is how long a leader may act after its leadership was last confirmed
+	// leaderLease is how long a leader may act after its leadership was last confirmed
 	// by the store or by a majority of the VMs.
-	authority = 2 * time.Second
-	// touchEvery is the interval at which the leader writes an otherwise unchanged
+	leaderLease = 2 * time.Second
+	// recordRenewEvery is the interval at which the leader writes an otherwise unchanged
 	// record. It thus learns of another leader, shows the others that it is alive,
 	// and finds out whether the store answers, even if no watch event arrives for
 	// minutes.
-	touchEvery = 600 * time.Millisecond
-	// touchRetry is the pause after such a write failed.
-	touchRetry = 300 * time.Millisecond
-	// stall is the time without a tick after which the process counts as having
+	recordRenewEvery = 600 * time.Millisecond
+	// recordRenewRetry is the pause after such a write failed.
+	recordRenewRetry = 300 * time.Millisecond
+	// stallThreshold is the time without a tick after which the process counts as having
 	// stalled, for instance because the VM was suspended. It then sends no orders for
 	// afterStall, and only once its leadership is confirmed again: messages that wait
-	// in its connections predate the stall.
-	stall      = 600 * time.Millisecond
-	afterStall = 300 * time.Millisecond
+	// in its connections predate the stallThreshold.
+	stallThreshold = 600 * time.Millisecond
+	stallRecovery  = 300 * time.Millisecond
 	// storeLostAfter is the time without an answer from the store after which the
 	// leader asks the others to take over.
 	storeLostAfter = 1200 * time.Millisecond
-	// memberGone is the time without a report after which a VM is removed from the
+	// memberTimeout is the time without a report after which a VM is removed from the
 	// members.
-	memberGone = 4 * time.Second
+	memberTimeout = 4 * time.Second
 	// pushPause is how long changes of the declarations are collected before they are
 	// sent to the other VMs.
 	pushPause = 20 * time.Millisecond
@@ -43,48 +43,48 @@
 
 // leadership is the state of a VM while it leads.
 type leadership struct {
-	record   fleet.Record
-	revision int64
-	keeper   *leaseTable
-	// orders is the context of the orders to targets; stop cancels it.
-	orders  context.Context
-	stop    context.CancelFunc
-	members map[string]*member
-	parts   *parts
-
-	// confirmedAt is the uptime at which the last write of the record that succeeded
+	record     fleet.Record
+	revision   int64
+	leaseTable *leaseTable
+	// orderContext is the context of the orderContext to targets; stop cancels it.
+	orderContext context.Context
+	cancelOrders context.CancelFunc
+	members      map[string]*member
+	parts        *parts
+
+	// storeConfirmedAt is the uptime at which the last write of the record that succeeded
 	// was begun; it confirmed the leadership.
-	confirmedAt time.Duration
-	// confirmedMembers is the number of other VMs at that time.
-	confirmedMembers int
-	// touchAt is when the record is to be written again, even if unchanged.
-	touchAt time.Time
+	storeConfirmedAt time.Duration
+	// membersAtConfirmation is the number of other VMs at that time.
+	membersAtConfirmation int
+	// renewRecordAt is when the record is to be written again, even if unchanged.
+	renewRecordAt time.Time
 	// tickedAt is the uptime of the last tick; stalledAt is that of the last tick after
 	// a stall, or 0.
 	tickedAt, stalledAt time.Duration
-	// outdoneAt is the uptime at which a target last refused a grant with a higher
+	// laterLeaderSeenAt is the uptime at which a target last refused a grant with a higher
 	// fence, which a later leader must have issued; 0 if never.
-	outdoneAt time.Duration
-	// since is when the leadership began.
-	since time.Time
-	// superseded is set once a majority follows this leader or the former leader has
+	laterLeaderSeenAt time.Duration
+	// leadingSince is when the leadership began.
+	leadingSince time.Time
+	// soleLeader is set once a majority follows this leader or the former leader has
 	// ended. No former leader can then act for longer than its remaining authority.
-	superseded bool
+	soleLeader bool
 
 	// repeats are the retry-budget counters of this VM's broker as of repeatsAt.
 	repeats   []*peerv1.ServiceRepeats
 	repeatsAt time.Time
 
-	// storeHeardAt is when the store last answered; storeLost is set if that was too
+	// storeAnsweredAt is when the store last answered; storeLost is set if that was too
 	// long ago.
-	storeHeardAt time.Time
-	storeLost    bool
+	storeAnsweredAt time.Time
+	storeLost       bool
 	// outranked is set while a larger VM is asked to take over.
 	outranked bool
 
-	// confirming are the targets for which a check whether they have ended is in
+	// endChecks are the targets for which a check whether they have ended is in
 	// flight.
-	confirming map[fleet.Life]bool
+	endChecks map[fleet.Life]bool
 
 	// declarationsChanged is set if there are declarations to publish.
 	declarationsChanged bool
@@ -105,13 +105,13 @@
 // takeOver writes this VM into the record as the leader of the next term, and starts
 // to lead if the write succeeds. formerEnded is set if the former leader's process is
 // known to have ended.
-func (c *Coordinator) takeOver(former *fleet.Record, revision int64, why string, formerEnded bool) {
+func (c *Coordinator) takeOver(former *fleet.Record, revision int64, reason string, formerEnded bool) {
 	record := *former
 	record.Term++
 	record.Leader = c.config.Self
 	record.Write = 1
-	given := fencesAfter(former)
-	record.LastFence = given.last
+	reserved := fencesAfter(former)
+	record.LastFence = reserved.last
 	c.checking = true
 	began := c.config.Uptime()
 	go func() {
@@ -119,13 +119,13 @@
 		c.config.Loop.Post(func() {
 			c.checking = false
 			if err != nil {
-				events.TakeoverFailed.Log(c.config.Logger).Uint64("term", record.Term).Str("reason", why).Err(err).Send()
+				events.TakeoverFailed.Log(c.config.Logger).Uint64("term", record.Term).Str("reason", reason).Err(err).Send()
 				return
 			}
-			c.lead = newLeadership(record, version, given, formerEnded, c.view, c.leaseDuration(), time.Now())
-			c.lead.orders, c.lead.stop = context.WithCancel(c.ctx)
-			c.lead.confirmedAt, c.lead.tickedAt = began, c.config.Uptime()
-			c.beginLeading(why, former)
+			c.lead = newLeadership(record, version, reserved, formerEnded, c.view, c.leaseDuration(), time.Now())
+			c.lead.orderContext, c.lead.cancelOrders = context.WithCancel(c.ctx)
+			c.lead.storeConfirmedAt, c.lead.tickedAt = began, c.config.Uptime()
+			c.beginLeading(reason, former)
 		})
 	}()
 }
@@ -133,31 +133,31 @@
 // newLeadership returns the state of a leader that has just been written into the
 // record; given are the fences that this write reserved. formerEnded is set if no
 // former leader can act any more.
-func newLeadership(record fleet.Record, revision int64, given fenceRange, formerEnded bool, view *fleet.View, hold time.Duration, now time.Time) *leadership {
+func newLeadership(record fleet.Record, revision int64, reserved fenceRange, formerEnded bool, view *fleet.View, hold time.Duration, now time.Time) *leadership {
 	l := &leadership{
-		record: record, revision: revision, writes: record.Write, keeper: newLeaseTable(record.Slices, given, hold),
-		members: map[string]*member{}, parts: newParts(), confirming: map[fleet.Life]bool{},
-		since: now, storeHeardAt: now, touchAt: now.Add(touchEvery),
+		record: record, revision: revision, writes: record.Write, leaseTable: newLeaseTable(record.Slices, reserved, hold),
+		members: map[string]*member{}, parts: newParts(), endChecks: map[fleet.Life]bool{},
+		leadingSince: now, storeAnsweredAt: now, renewRecordAt: now.Add(recordRenewEvery),
 	}
 	if formerEnded {
-		l.superseded = true
-		l.keeper.formerLeaderEnded = true
-		l.keeper.setSoleLeader(now)
+		l.soleLeader = true
+		l.leaseTable.formerLeaderEnded = true
+		l.leaseTable.setSoleLeader(now)
 	}
 	for name, m := range view.Members {
 		if name != record.Leader.VM {
 			l.members[name] = &member{Member: m, joinedAt: now, heardAt: now}
 		}
 	}
-	l.confirmedMembers = len(l.members)
+	l.membersAtConfirmation = len(l.members)
 	return l
 }
 
 // beginLeading starts the leader's work after a takeover.
-func (c *Coordinator) beginLeading(why string, former *fleet.Record) {
+func (c *Coordinator) beginLeading(reason string, former *fleet.Record) {
 	l := c.lead
 	events.LeadershipTaken.Log(c.config.Logger).Uint64("term", l.record.Term).Int64("revision", l.revision).
-		Str("reason", why).Str("leader_before", former.Leader.VM).Int("members", len(l.members)).Send()
+		Str("reason", reason).Str("leader_before", former.Leader.VM).Int("members", len(l.members)).Send()
 	if !c.observer.Watching() {
 		c.observer.Seed(c.view)
 		c.observer.Start(c.ctx, c.storeFailedAt)
@@ -165,7 +165,7 @@
 	// The follower's lists become the base of the diffs that this leader sends.
 	l.parts.adoptLists(c.view, c.haveVersions)
 	c.haveVersions = &peerv1.PartVersions{}
-	l.keeper.adoptReady(c.view.Slices, time.Now())
+	l.leaseTable.adoptReady(c.view.Slices, time.Now())
 	c.config.AdoptRepeats(repeatsFromWire(c.leaderRepeats), c.heartbeatAt)
 	c.leaderRepeats = nil
 	view := *c.view
@@ -179,12 +179,12 @@
 
 // stepDown ends the leadership. It cancels orders in flight, which must not reach
 // targets after orders of the next leader.
-func (c *Coordinator) stepDown(why string) {
+func (c *Coordinator) stepDown(reason string) {
 	if c.lead == nil {
 		return
 	}
-	events.LeadershipLost.Log(c.config.Logger).Uint64("term", c.lead.record.Term).Str("reason", why).Send()
-	c.lead.stop()
+	events.LeadershipLost.Log(c.config.Logger).Uint64("term", c.lead.record.Term).Str("reason", reason).Send()
+	c.lead.cancelOrders()
 	c.lead = nil
 	c.observer.Stop()
 	c.heartbeatAt = time.Now().Add(-heartbeatTimeout)
@@ -195,18 +195,18 @@
 // leadTick checks a leader's timeouts and does the work that is due.
 func (c *Coordinator) leadTick(now time.Time) {
 	l := c.lead
-	c.noteStall()
+	c.detectStall()
 	if c.observer.Tick(now) {
 		l.declarationsChanged = true
 	}
 	c.dropMembers(now)
-	c.noteStore(now)
+	c.detectStoreLoss(now)
 	l.outranked = l.isOutranked(now)
-	c.supersede(now)
-	c.touch(now)
+	c.detectSoleLeader(now)
+	c.renewRecord(now)
 	if l.declarationsChanged {
 		l.declarationsChanged = false
-		c.publishDeclared(now)
+		c.publishDeclarations(now)
 	}
 	if !l.pushAt.IsZero() && !now.Before(l.pushAt) {
 		c.pushAll()
@@ -214,9 +214,9 @@
 	c.manageKeys(now)
 }
 
-// publishDeclared publishes the declarations that the watches have read, and sends
+// publishDeclarations publishes the declarations that the watches have read, and sends
 // them to the other VMs.
-func (c *Coordinator) publishDeclared(now time.Time) {
+func (c *Coordinator) publishDeclarations(now time.Time) {
 	l := c.lead
 	view := *c.view
 	if config := c.observer.Config(); config != nil && (view.Config == nil || config.Version >= view.Config.Version) {
@@ -226,7 +226,7 @@
 	if c.observer.Complete() {
 		view.Targets, view.Evacuated = c.observer.Targets(), c.observer.Evacuated()
 		l.parts.setTargets(view.Targets, view.Evacuated)
-		c.noteLives(view.Targets, now)
+		c.noteRestarts(view.Targets, now)
 	}
 	view.Brokers = c.brokers(view.Config)
 	l.parts.setMembers(view.Members, view.Brokers)
@@ -234,20 +234,20 @@
 	c.pushWithin(pushPause)
 }
 
-// noteLives notes owners and former owners of slices that have restarted.
-func (c *Coordinator) noteLives(targets map[string]*fleet.Target, now time.Time) {
-	k := c.lead.keeper
-	started := map[fleet.Life]fleet.Life{}
-	for _, list := range k.slices {
+// noteRestarts notes owners and former owners of slices that have restarted.
+func (c *Coordinator) noteRestarts(targets map[string]*fleet.Target, now time.Time) {
+	leases := c.lead.leaseTable
+	restarted := map[fleet.Life]fleet.Life{}
+	for _, list := range leases.slices {
 		for _, s := range list {
 			for _, life := range append([]fleet.Life{s.Owner}, s.From...) {
 				if t := targets[life.ID]; t != nil && t.Born > life.Born {
-					started[life] = t.Life
+					restarted[life] = t.Life
 				}
 			}
 		}
 	}
-	for former, present := range started {
-		k.markRestarted(former, present, now)
+	for former, present := range restarted {
+		leases.markRestarted(former, present, now)
 	}
 }
--- a/internal/process/coordinator/member.go
+++ b/internal/process/coordinator/member.go
@@ -312,13 +312,13 @@
 		// A heartbeat during the check may have withdrawn it.
 		e.yielding = e.yielding && c.leaderYielding
 		e.storeReturned = c.leaderLacksStore && now.Sub(c.storeFailedAt) < storeReturnGrace
-		may, why := mayTakeOver(e)
+		may, reason := mayTakeOver(e)
 		events.LeaderMissed.Log(c.config.Logger).Uint64("term", record.Term).Str("leader", record.Leader.VM).
 			Dur("silent", e.silentFor).Int("known", e.known).Int("asked", e.asked).Int("answered", e.answered).
 			Int("deaf", e.withoutLeader).Int("dead", e.refused).Bool("written", e.recordWritten).Dur("record_unchanged", e.recordUnchangedFor).
-			Bool("ended", e.ended).Bool("yielding", e.yielding).Bool("takes_over", may).Str("reason", why).Send()
+			Bool("ended", e.ended).Bool("yielding", e.yielding).Bool("takes_over", may).Str("reason", reason).Send()
 		if may {
-			c.takeOver(record, revision, why, e.replaced && !e.yielding)
+			c.takeOver(record, revision, reason, e.replaced && !e.yielding)
 		}
 	}
 }
--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -224,7 +224,7 @@
 func (c *Coordinator) dropMembers(now time.Time) {
 	dropped := false
 	for name, m := range c.lead.members {
-		if now.Sub(m.heardAt) > memberGone {
+		if now.Sub(m.heardAt) > memberTimeout {
 			delete(c.lead.members, name)
 			dropped = true
 			events.MemberLost.Log(c.config.Logger).Str("vm", name).Dur("silent", now.Sub(m.heardAt)).Send()
--- a/internal/process/coordinator/record.go
+++ b/internal/process/coordinator/record.go
@@ -12,24 +12,24 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// noteStall detects that the process has stalled since the last tick.
-func (c *Coordinator) noteStall() {
+// detectStall detects that the process has stalled since the last tick.
+func (c *Coordinator) detectStall() {
 	l := c.lead
 	now := c.config.Uptime()
-	if l.tickedAt != 0 && now-l.tickedAt > stall {
+	if l.tickedAt != 0 && now-l.tickedAt > stallThreshold {
 		l.stalledAt = now
-		l.touchAt = time.Time{}
+		l.renewRecordAt = time.Time{}
 		events.LeaderStalled.Log(c.config.Logger).Uint64("term", l.record.Term).Dur("stopped", now-l.tickedAt).Send()
 	}
 	l.tickedAt = now
 }
 
-// outdone records that a target has seen the fence of a later leader. VMs that follow
+// noteLaterLeader records that a target has seen the fence of a later leader. VMs that follow
 // this leader may not know the later one, so only the store can confirm the
 // leadership from then on.
-func (l *leadership) outdone(now time.Duration) {
-	l.outdoneAt = now
-	l.touchAt = time.Time{}
+func (l *leadership) noteLaterLeader(now time.Duration) {
+	l.laterLeaderSeenAt = now
+	l.renewRecordAt = time.Time{}
 }
 
 // mayAct reports whether the leadership is confirmed: the store or a majority of the
@@ -37,32 +37,32 @@
 func (c *Coordinator) mayAct() bool {
 	l := c.lead
 	now := c.config.Uptime()
-	if now-l.tickedAt > stall || l.stalledAt != 0 && now-l.stalledAt < afterStall {
+	if now-l.tickedAt > stallThreshold || l.stalledAt != 0 && now-l.stalledAt < stallRecovery {
 		return false
 	}
-	if l.outdoneAt != 0 && l.confirmedAt < l.outdoneAt {
+	if l.laterLeaderSeenAt != 0 && l.storeConfirmedAt < l.laterLeaderSeenAt {
 		return false
 	}
-	return now-l.confirmedAt < authority && l.confirmedAt >= l.stalledAt || c.majority()
+	return now-l.storeConfirmedAt < leaderLease && l.storeConfirmedAt >= l.stalledAt || c.hasMajority()
 }
 
-// majority reports whether a majority of the VMs has followed this leader within
+// hasMajority reports whether a hasMajority of the VMs has followed this leader within
 // authority. A VM follows one leader at a time and never goes back to a lower term.
-func (c *Coordinator) majority() bool {
+func (c *Coordinator) hasMajority() bool {
 	l := c.lead
 	now := c.config.Uptime()
-	following := 1
+	followers := 1
 	for _, m := range l.members {
-		if m.term == l.record.Term && now-m.followedAt < authority && m.followedAt > l.stalledAt {
-			following++
+		if m.term == l.record.Term && now-m.followedAt < leaderLease && m.followedAt > l.stalledAt {
+			followers++
 		}
 	}
-	return l.others() > 0 && 2*following > l.others()+1
+	return l.otherVoters() > 0 && 2*followers > l.otherVoters()+1
 }
 
-// confirmedAt returns the latest uptime at which this VM is known to have led: the
+// leadershipConfirmedAt returns the latest uptime at which this VM is known to have led: the
 // store named no other leader then, or a majority of the VMs followed this one.
-func (c *Coordinator) confirmedAt() time.Duration {
+func (c *Coordinator) leadershipConfirmedAt() time.Duration {
 	l := c.lead
 	var followed []time.Duration
 	for _, m := range l.members {
@@ -70,62 +70,62 @@
 			followed = append(followed, m.followedAt)
 		}
 	}
-	most := (l.others() + 1) / 2
-	if most == 0 || len(followed) < most {
-		return l.confirmedAt
+	needed := (l.otherVoters() + 1) / 2
+	if needed == 0 || len(followed) < needed {
+		return l.storeConfirmedAt
 	}
 	slices.Sort(followed)
-	return max(l.confirmedAt, followed[len(followed)-most])
+	return max(l.storeConfirmedAt, followed[len(followed)-needed])
 }
 
-// others returns the number of other VMs to count for a majority. VMs removed since
+// otherVoters returns the number of other VMs to count for a majority. VMs removed since
 // the store last confirmed this leader still count, as they may follow another.
-func (l *leadership) others() int { return max(len(l.members), l.confirmedMembers) }
+func (l *leadership) otherVoters() int { return max(len(l.members), l.membersAtConfirmation) }
 
-// supersede records that former leaders can act for no longer than authority from now
+// detectSoleLeader records that former leaders can act for no longer than authority from now
 // on, once a majority of the VMs follows this leader or there are no others.
-func (c *Coordinator) supersede(now time.Time) {
+func (c *Coordinator) detectSoleLeader(now time.Time) {
 	l := c.lead
-	if l.superseded || !c.majority() && l.others() > 0 {
+	if l.soleLeader || !c.hasMajority() && l.otherVoters() > 0 {
 		return
 	}
-	l.superseded = true
-	l.keeper.setSoleLeader(now.Add(authority))
+	l.soleLeader = true
+	l.leaseTable.setSoleLeader(now.Add(leaderLease))
 }
 
-// noteStore detects that the store is lost or regained, and notifies the other VMs.
-func (c *Coordinator) noteStore(now time.Time) {
+// detectStoreLoss detects that the store is lost or regained, and notifies the other VMs.
+func (c *Coordinator) detectStoreLoss(now time.Time) {
 	l := c.lead
-	lost := now.Sub(l.storeHeardAt) > storeLostAfter
+	lost := now.Sub(l.storeAnsweredAt) > storeLostAfter
 	if lost == l.storeLost {
 		return
 	}
 	l.storeLost = lost
-	events.StoreReach.Log(c.config.Logger).Bool("lost", lost).Dur("silent", now.Sub(l.storeHeardAt)).Send()
+	events.StoreReach.Log(c.config.Logger).Bool("lost", lost).Dur("silent", now.Sub(l.storeAnsweredAt)).Send()
 	c.pushAll()
 }
 
-// touch writes the record, when it is due, with no change but the number of the write.
-func (c *Coordinator) touch(now time.Time) {
+// renewRecord writes the record, when it is due, with no change but the number of the write.
+func (c *Coordinator) renewRecord(now time.Time) {
 	l := c.lead
-	if l.writing || now.Before(l.touchAt) {
+	if l.writing || now.Before(l.renewRecordAt) {
 		return
 	}
-	c.write(l.record, func(err error) {
+	c.updateRecord(l.record, func(err error) {
 		if err != nil {
-			l.touchAt = time.Now().Add(touchRetry)
+			l.renewRecordAt = time.Now().Add(recordRenewRetry)
 		}
 	})
 }
 
-// write writes the leader's record. It calls done on the loop with the result, unless
+// updateRecord writes the leader's record. It calls done on the loop with the result, unless
 // the leadership has ended.
-func (c *Coordinator) write(record fleet.Record, done func(error)) {
+func (c *Coordinator) updateRecord(record fleet.Record, done func(error)) {
 	l := c.lead
 	l.writing = true
 	l.writes++
 	record.Write = l.writes
-	record.LastFence = l.keeper.fences.reserved()
+	record.LastFence = l.leaseTable.fences.reserved()
 	revision := l.revision
 	began := c.config.Uptime()
 	go func() {
@@ -135,27 +135,27 @@
 				return
 			}
 			l.writing = false
-			l.storeContact(err, time.Now())
+			l.noteStoreAnswer(err, time.Now())
 			if fault.Is(err, fault.Conflict) {
 				c.stepDown("another VM has changed the record")
 				return
 			}
 			if err == nil {
-				l.record, l.revision, l.confirmedAt = record, version, began
-				l.confirmedMembers = len(l.members)
-				l.keeper.fences.last = record.LastFence
-				l.keeper.prune()
-				l.touchAt = time.Now().Add(touchEvery)
+				l.record, l.revision, l.storeConfirmedAt = record, version, began
+				l.membersAtConfirmation = len(l.members)
+				l.leaseTable.fences.last = record.LastFence
+				l.leaseTable.prune()
+				l.renewRecordAt = time.Now().Add(recordRenewEvery)
 			}
 			done(err)
 		})
 	}()
 }
 
-// storeContact records whether a call to the store was answered.
-func (l *leadership) storeContact(err error, now time.Time) {
+// noteStoreAnswer records whether a call to the store was answered.
+func (l *leadership) noteStoreAnswer(err error, now time.Time) {
 	if err == nil || fault.Is(err, fault.Conflict) || fault.Is(err, fault.NotFound) {
-		l.storeHeardAt = now
+		l.storeAnsweredAt = now
 	}
 }
 
@@ -212,8 +212,8 @@
 	return record, nil
 }
 
-// next returns a copy of the record with other slices for one service.
-func (l *leadership) next(service string, list []fleet.Slice) fleet.Record {
+// withSlices returns a copy of the record with other slices for one service.
+func (l *leadership) withSlices(service string, list []fleet.Slice) fleet.Record {
 	record := l.record
 	record.Slices = maps.Clone(record.Slices)
 	if record.Slices == nil {
--- a/internal/process/coordinator/witness.go
+++ b/internal/process/coordinator/witness.go
@@ -104,10 +104,10 @@
 // grants last.
 func (c *Coordinator) checkTargetEnded(life fleet.Life) {
 	l, target := c.lead, c.view.Targets[life.ID]
-	if target == nil || target.Life != life || l.confirming[life] {
+	if target == nil || target.Life != life || l.endChecks[life] {
 		return
 	}
-	l.confirming[life] = true
+	l.endChecks[life] = true
 	asked := time.Now()
 	w, address, domain := c.chooseWitnesses(target.FailureDomain, c.view, ""), target.Address, target.FailureDomain
 	service := target.Service
@@ -117,13 +117,13 @@
 			if c.lead != l {
 				return
 			}
-			delete(l.confirming, life)
+			delete(l.endChecks, life)
 			observed, _ := c.config.Observe(service, life.ID)
 			events.TargetEndChecked.Log(c.config.Logger).Str("target", life.ID).Int64("born", life.Born).
 				Str("failure_domain", domain).Strs("near", w.near).Strs("far", w.far).Bool("self_near", w.selfNear).
 				Bool("ended", ended).Int("running", observed.Running).Send()
 			if ended && observed.Running == 0 {
-				l.keeper.markEnded(life, asked)
+				l.leaseTable.markEnded(life, asked)
 				c.publishSlicesSoon()
 			}
 		})
