--- a/internal/process/coordinator/delivery.go
+++ b/internal/process/coordinator/delivery.go
@@ -65,14 +65,14 @@
 // updateDeliveries updates the deliveries with the versions that a VM has reported. interval
 // is the interval of its reports.
 func (m *member) updateDeliveries(have *peerv1.PartVersions, interval time.Duration, now time.Time) {
-	if m.sent == nil {
-		m.sent = &peerv1.PartVersions{
+	if m.sentVersions == nil {
+		m.sentVersions = &peerv1.PartVersions{
 			Config: have.GetConfig(), Targets: have.GetTargets(), Slices: have.GetSlices(), Members: have.GetMembers(),
 		}
 	}
 	lost := changeLostIntervals * interval
-	m.deliveries.config.update(&m.sent.Config, have.GetConfig(), lost, now)
-	m.deliveries.targets.update(&m.sent.Targets, have.GetTargets(), lost, now)
-	m.deliveries.slices.update(&m.sent.Slices, have.GetSlices(), lost, now)
-	m.deliveries.members.update(&m.sent.Members, have.GetMembers(), lost, now)
+	m.deliveries.config.update(&m.sentVersions.Config, have.GetConfig(), lost, now)
+	m.deliveries.targets.update(&m.sentVersions.Targets, have.GetTargets(), lost, now)
+	m.deliveries.slices.update(&m.sentVersions.Slices, have.GetSlices(), lost, now)
+	m.deliveries.members.update(&m.sentVersions.Members, have.GetMembers(), lost, now)
 }
--- a/internal/process/coordinator/election.go
+++ b/internal/process/coordinator/election.go
@@ -161,7 +161,7 @@
 		return false
 	}
 	for _, m := range l.members {
-		if outranks(m.Member, l.record.Leader) && now.Sub(m.joinedAt) > settledAfter && now.Sub(m.heardAt) < heartbeatTimeout {
+		if outranks(m.Member, l.record.Leader) && now.Sub(m.joinedAt) > settledAfter && now.Sub(m.reportedAt) < heartbeatTimeout {
 			return true
 		}
 	}
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -146,7 +146,7 @@
 	}
 	for name, m := range view.Members {
 		if name != record.Leader.VM {
-			l.members[name] = &member{Member: m, joinedAt: now, heardAt: now}
+			l.members[name] = &member{Member: m, joinedAt: now, reportedAt: now}
 		}
 	}
 	l.membersAtConfirmation = len(l.members)
@@ -199,7 +199,7 @@
 	if c.observer.Tick(now) {
 		l.declarationsChanged = true
 	}
-	c.dropMembers(now)
+	c.dropSilentMembers(now)
 	c.detectStoreLoss(now)
 	l.outranked = l.isOutranked(now)
 	c.detectSoleLeader(now)
@@ -231,7 +231,7 @@
 	view.Brokers = c.brokers(view.Config)
 	l.parts.setMembers(view.Members, view.Brokers)
 	c.publish(&view)
-	c.pushWithin(pushPause)
+	c.schedulePush(pushPause)
 }
 
 // noteRestarts notes owners and former owners of slices that have restarted.
--- a/internal/process/coordinator/parts.go
+++ b/internal/process/coordinator/parts.go
@@ -59,7 +59,7 @@
 
 func newParts() *parts {
 	return &parts{
-		targets: newListPart(targetsSince), slices: newListPart(slicesSince), members: newListPart(membersSince),
+		targets: newListPart(diffTargets), slices: newListPart(diffSlices), members: newListPart(diffMembers),
 	}
 }
 
--- a/internal/process/coordinator/parts_test.go
+++ b/internal/process/coordinator/parts_test.go
@@ -421,7 +421,7 @@
 		switch {
 		case drop && lost == "config":
 			// The configuration was lost while the link was cut.
-			have.Config, m.sent.Config = have.Config-1, have.Config
+			have.Config, m.sentVersions.Config = have.Config-1, have.Config
 			droppedAt, wanted = time.Now(), have.Config+1
 		case drop && lost == "slices" && state.Slices != nil:
 			droppedAt = time.Now()
--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -10,47 +10,47 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// loadTime bounds how long the leader's link is busy with the whole lists of targets
+// listLinkTime bounds how long the leader's link is busy with the whole lists of targets
 // that are in flight at once. It is well below silentAfter, so that no heartbeat is
 // missed behind them.
-const loadTime = 100 * time.Millisecond
+const listLinkTime = 100 * time.Millisecond
 
 // member is what the leader knows about another VM.
 type member struct {
 	fleet.Member
-	// joinedAt is when the VM became a member, heardAt when its last report arrived.
-	joinedAt, heardAt time.Time
-	// followedAt is the uptime of this leader up to which the VM is known to have
+	// joinedAt is when the VM became a member, reportedAt when its last report arrived.
+	joinedAt, reportedAt time.Time
+	// followConfirmedAt is the uptime of this leader up to which the VM is known to have
 	// followed it: the send time of the last heartbeat that the VM acknowledged. The
 	// arrival of reports does not count, since a partition may delay them for as long
 	// as it lasts.
-	followedAt time.Duration
+	followConfirmedAt time.Duration
 	// term is the term in the VM's last report.
 	term uint64
-	// sent are the versions that were last sent; nil until the VM's first report.
-	// detailsAt is when the owners of keys or the VMs were last sent.
-	sent       *peerv1.PartVersions
-	deliveries deliveries
-	detailsAt  time.Time
-	// waits is set while the VM needs the whole list of targets and the link is busy
+	// sentVersions are the versions that were last sentVersions; nil until the VM's first report.
+	// detailsAt is when the owners of keys or the VMs were last sentVersions.
+	sentVersions  *peerv1.PartVersions
+	deliveries    deliveries
+	detailsSentAt time.Time
+	// awaitsTargets is set while the VM needs the whole list of targets and the link is busy
 	// with the lists of others. loadingSince is when the whole list was sent; zero once
 	// the VM has reported it.
-	waits        bool
-	loadingSince time.Time
+	awaitsTargets   bool
+	wholeListSentAt time.Time
 }
 
-// pushWithin schedules a push of changes after at most the given pause, so that
+// schedulePush schedules a push of changes after at most the given pause, so that
 // changes within it are sent together.
-func (c *Coordinator) pushWithin(pause time.Duration) {
+func (c *Coordinator) schedulePush(pause time.Duration) {
 	at := time.Now().Add(pause)
 	if c.lead.pushAt.IsZero() || at.Before(c.lead.pushAt) {
 		c.lead.pushAt = at
-		time.AfterFunc(pause, func() { c.config.Loop.Post(c.pushPending) })
+		time.AfterFunc(pause, func() { c.config.Loop.Post(c.pushIfDue) })
 	}
 }
 
-// pushPending sends the pending changes if their pause is over.
-func (c *Coordinator) pushPending() {
+// pushIfDue sends the pending changes if their pause is over.
+func (c *Coordinator) pushIfDue() {
 	if l := c.lead; l != nil && !l.pushAt.IsZero() && !time.Now().Before(l.pushAt) {
 		c.pushAll()
 	}
@@ -89,18 +89,18 @@
 func (c *Coordinator) push(m *member, now time.Time) {
 	l := c.lead
 	state := &peerv1.FleetState{
-		Term: l.record.Term, Leader: identity(c.config.Self), Versions: l.parts.versions(now),
+		Term: l.record.Term, Leader: memberToWire(c.config.Self), Versions: l.parts.versions(now),
 		StoreLost: l.storeLost, Leaving: c.leaving, Outranked: l.outranked, RecordWrite: l.record.Write,
-		Repeats: c.presentRepeats(now), SentMillis: uint64(c.config.Uptime().Milliseconds()),
+		Repeats: c.currentRepeats(now), SentMillis: uint64(c.config.Uptime().Milliseconds()),
 	}
-	if m.sent != nil {
+	if m.sentVersions != nil {
 		c.addParts(state, m, now)
 	}
 	c.config.Sender.Send(m.VM, &peerv1.Control{Kind: &peerv1.Control_FleetState{FleetState: state}})
 }
 
-// presentRepeats returns the retry-budget counters, at most partAge old.
-func (c *Coordinator) presentRepeats(now time.Time) []*peerv1.ServiceRepeats {
+// currentRepeats returns the retry-budget counters, at most partAge old.
+func (c *Coordinator) currentRepeats(now time.Time) []*peerv1.ServiceRepeats {
 	l := c.lead
 	if now.Sub(l.repeatsAt) > maxPartAge {
 		l.repeats, l.repeatsAt = repeatsToWire(c.config.Repeats(now)), now
@@ -112,57 +112,57 @@
 // this leader does not have yet is not sent, so that VMs keep the one they have.
 func (c *Coordinator) addParts(state *peerv1.FleetState, m *member, now time.Time) {
 	p := c.lead.parts
-	if m.sent.Config < p.configVersion {
-		m.deliveries.config.markSent(m.sent.Config == 0, now)
-		state.Config, m.sent.Config = p.config, p.configVersion
-	}
-	m.waits = false
-	if p.targets.digest != 0 && m.sent.Targets != p.targets.digest {
-		part := p.targets.since(m.sent.Targets, now)
-		if m.waits = part.Base == 0 && !c.mayLoad(m, len(part.Body), now); !m.waits {
-			state.Targets, m.sent.Targets = part, p.targets.digest
+	if m.sentVersions.Config < p.configVersion {
+		m.deliveries.config.markSent(m.sentVersions.Config == 0, now)
+		state.Config, m.sentVersions.Config = p.config, p.configVersion
+	}
+	m.awaitsTargets = false
+	if p.targets.digest != 0 && m.sentVersions.Targets != p.targets.digest {
+		part := p.targets.since(m.sentVersions.Targets, now)
+		if m.awaitsTargets = part.Base == 0 && !c.reserveListTurn(m, len(part.Body), now); !m.awaitsTargets {
+			state.Targets, m.sentVersions.Targets = part, p.targets.digest
 			m.deliveries.targets.markSent(part.Base == 0, now)
 		}
 	}
-	if now.Sub(m.detailsAt) < c.detailPause() {
+	if now.Sub(m.detailsSentAt) < c.detailPause() {
 		return
 	}
-	if p.members.digest != 0 && m.sent.Members != p.members.digest {
-		state.Members = p.members.since(m.sent.Members, now)
-		m.sent.Members, m.detailsAt = p.members.digest, now
+	if p.members.digest != 0 && m.sentVersions.Members != p.members.digest {
+		state.Members = p.members.since(m.sentVersions.Members, now)
+		m.sentVersions.Members, m.detailsSentAt = p.members.digest, now
 		m.deliveries.members.markSent(state.Members.Base == 0, now)
 	}
 	// A VM cannot use the owners of keys before it has the targets.
-	if p.slices.digest != 0 && m.sent.Slices != p.slices.digest && !m.waits && m.loadingSince.IsZero() {
-		state.Slices = p.slices.since(m.sent.Slices, now)
-		m.sent.Slices, m.detailsAt = p.slices.digest, now
+	if p.slices.digest != 0 && m.sentVersions.Slices != p.slices.digest && !m.awaitsTargets && m.wholeListSentAt.IsZero() {
+		state.Slices = p.slices.since(m.sentVersions.Slices, now)
+		m.sentVersions.Slices, m.detailsSentAt = p.slices.digest, now
 		m.deliveries.slices.markSent(state.Slices.Base == 0, now)
 	}
 }
 
-// mayLoad reports whether a whole list of targets, of a size in bytes, may be sent to a
+// reserveListTurn reports whether a whole list of targets, of a size in bytes, may be sent to a
 // VM now, and if so records that it is. When a whole fleet starts at once, heartbeats
 // must not queue behind the lists, so these occupy the link for loadTime at most.
-func (c *Coordinator) mayLoad(m *member, size int, now time.Time) bool {
-	underWay := 0
+func (c *Coordinator) reserveListTurn(m *member, size int, now time.Time) bool {
+	bytesInFlight := 0
 	for _, other := range c.lead.members {
-		if other != m && now.Sub(other.loadingSince) < listLostAfter {
-			underWay += size
+		if other != m && now.Sub(other.wholeListSentAt) < listLostAfter {
+			bytesInFlight += size
 		}
 	}
-	if c.config.LinkRate > 0 && underWay > 0 && float64(underWay+size) > c.config.LinkRate*loadTime.Seconds() {
+	if c.config.LinkRate > 0 && bytesInFlight > 0 && float64(bytesInFlight+size) > c.config.LinkRate*listLinkTime.Seconds() {
 		return false
 	}
-	m.loadingSince = now
+	m.wholeListSentAt = now
 	return true
 }
 
-// loaded records that a VM has reported the list of targets, and sends the list to
+// targetsDelivered records that a VM has reported the list of targets, and sends the list to
 // another VM that waits for it.
-func (c *Coordinator) loaded(m *member, now time.Time) {
-	m.loadingSince, m.detailsAt = time.Time{}, time.Time{}
+func (c *Coordinator) targetsDelivered(m *member, now time.Time) {
+	m.wholeListSentAt, m.detailsSentAt = time.Time{}, time.Time{}
 	for _, next := range c.lead.members {
-		if next.waits {
+		if next.awaitsTargets {
 			c.push(next, now)
 			return
 		}
@@ -195,21 +195,21 @@
 			FailureDomain: report.FailureDomain,
 		}, joinedAt: now}
 		l.members[sender.VM] = m
-		c.membersChanged()
+		c.publishMembers()
 	}
-	m.heardAt, m.term = now, report.Term
+	m.reportedAt, m.term = now, report.Term
 	if report.Term == l.record.Term {
-		m.followedAt = max(m.followedAt, time.Duration(report.HeardMillis)*time.Millisecond)
+		m.followConfirmedAt = max(m.followConfirmedAt, time.Duration(report.HeardMillis)*time.Millisecond)
 	}
 	m.updateDeliveries(report.Have, c.reportInterval(), now)
-	if !m.loadingSince.IsZero() && l.parts.targets.has(report.Have.GetTargets()) {
-		c.loaded(m, now)
+	if !m.wholeListSentAt.IsZero() && l.parts.targets.has(report.Have.GetTargets()) {
+		c.targetsDelivered(m, now)
 	}
 	c.push(m, now)
 }
 
-// membersChanged publishes the members. Other VMs get them with the next heartbeats.
-func (c *Coordinator) membersChanged() {
+// publishMembers publishes the members. Other VMs get them with the next heartbeats.
+func (c *Coordinator) publishMembers() {
 	l := c.lead
 	view := *c.view
 	view.Members = map[string]fleet.Member{c.config.Self.VM: c.config.Self}
@@ -220,17 +220,17 @@
 	c.publish(&view)
 }
 
-// dropMembers removes members that have not reported for memberGone.
-func (c *Coordinator) dropMembers(now time.Time) {
+// dropSilentMembers removes members that have not reported for memberGone.
+func (c *Coordinator) dropSilentMembers(now time.Time) {
 	dropped := false
 	for name, m := range c.lead.members {
-		if now.Sub(m.heardAt) > memberTimeout {
+		if now.Sub(m.reportedAt) > memberTimeout {
 			delete(c.lead.members, name)
 			dropped = true
-			events.MemberLost.Log(c.config.Logger).Str("vm", name).Dur("silent", now.Sub(m.heardAt)).Send()
+			events.MemberLost.Log(c.config.Logger).Str("vm", name).Dur("silent", now.Sub(m.reportedAt)).Send()
 		}
 	}
 	if dropped {
-		c.membersChanged()
+		c.publishMembers()
 	}
 }
--- a/internal/process/coordinator/record.go
+++ b/internal/process/coordinator/record.go
@@ -53,7 +53,7 @@
 	now := c.config.Uptime()
 	followers := 1
 	for _, m := range l.members {
-		if m.term == l.record.Term && now-m.followedAt < leaderLease && m.followedAt > l.stalledAt {
+		if m.term == l.record.Term && now-m.followConfirmedAt < leaderLease && m.followConfirmedAt > l.stalledAt {
 			followers++
 		}
 	}
@@ -67,7 +67,7 @@
 	var followed []time.Duration
 	for _, m := range l.members {
 		if m.term == l.record.Term {
-			followed = append(followed, m.followedAt)
+			followed = append(followed, m.followConfirmedAt)
 		}
 	}
 	needed := (l.otherVoters() + 1) / 2
--- a/internal/process/coordinator/wire.go
+++ b/internal/process/coordinator/wire.go
@@ -13,10 +13,10 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// targetsSince returns the diff from a former set of targets to the present one. The
+// diffTargets returns the diff from a former set of targets to the present one. The
 // remaining cold time of a target is relative to now.
-func targetsSince(former, present targetSet, now time.Time) proto.Message {
-	list := &peerv1.TargetList{Evacuated: slices.Sorted(maps.Keys(present.evacuated)), Removed: lacking(former.targets, present.targets)}
+func diffTargets(former, present targetSet, now time.Time) proto.Message {
+	list := &peerv1.TargetList{Evacuated: slices.Sorted(maps.Keys(present.evacuated)), Removed: removedKeys(former.targets, present.targets)}
 	for id, t := range present.targets {
 		if before := former.targets[id]; before == nil || *before != *t {
 			list.Targets = append(list.Targets, targetToWire(t, now))
@@ -25,8 +25,8 @@
 	return list
 }
 
-// lacking returns the keys of former that are not in present.
-func lacking[V any](former, present map[string]V) []string {
+// removedKeys returns the keys of former that are not in present.
+func removedKeys[V any](former, present map[string]V) []string {
 	var keys []string
 	for key := range former {
 		if _, kept := present[key]; !kept {
@@ -45,9 +45,9 @@
 
 // applyTargets applies a diff to former, its base, and returns the targets and the
 // evacuated failure domains.
-func applyTargets(list *peerv1.TargetList, former map[string]*fleet.Target, now time.Time) (map[string]*fleet.Target, map[string]bool) {
-	targets := make(map[string]*fleet.Target, len(former)+len(list.Targets))
-	maps.Copy(targets, former)
+func applyTargets(list *peerv1.TargetList, base map[string]*fleet.Target, now time.Time) (map[string]*fleet.Target, map[string]bool) {
+	targets := make(map[string]*fleet.Target, len(base)+len(list.Targets))
+	maps.Copy(targets, base)
 	for _, t := range list.Targets {
 		targets[t.Id] = &fleet.Target{
 			Life: fleet.Life{ID: t.Id, Born: t.Born}, Service: t.Service, Address: t.Address, FailureDomain: t.FailureDomain,
@@ -64,21 +64,21 @@
 	return targets, evacuated
 }
 
-// slicesSince returns the diff from a former set of slices to the present one.
-func slicesSince(former, present sliceSet, _ time.Time) proto.Message {
+// diffSlices returns the diff from a former set of slices to the present one.
+func diffSlices(former, present sliceSet, _ time.Time) proto.Message {
 	list := &peerv1.SliceList{}
 	for service, owned := range present {
-		addService(list, service, former[service], owned)
+		addServiceDiff(list, service, former[service], owned)
 	}
-	for _, service := range lacking(former, present) {
-		addService(list, service, former[service], nil)
+	for _, service := range removedKeys(former, present) {
+		addServiceDiff(list, service, former[service], nil)
 	}
 	return list
 }
 
-// addService adds the diff of a service's slices, which are sorted by key, to the list
+// addServiceDiff adds the diff of a service's slices, which are sorted by key, to the list
 // unless it is empty.
-func addService(list *peerv1.SliceList, service string, former, present []fleet.Slice) {
+func addServiceDiff(list *peerv1.SliceList, service string, former, present []fleet.Slice) {
 	difference := &peerv1.ServiceSlices{Service: service}
 	for i := range present {
 		s := &present[i]
@@ -111,13 +111,13 @@
 }
 
 // applySlices applies a diff to former, its base, and returns the slices by service.
-func applySlices(list *peerv1.SliceList, former sliceSet) sliceSet {
-	services := maps.Clone(former)
+func applySlices(list *peerv1.SliceList, base sliceSet) sliceSet {
+	services := maps.Clone(base)
 	if services == nil {
 		services = sliceSet{}
 	}
 	for _, difference := range list.Services {
-		services[difference.Service] = applyService(difference, former[difference.Service])
+		services[difference.Service] = applyService(difference, base[difference.Service])
 		if len(services[difference.Service]) == 0 {
 			delete(services, difference.Service)
 		}
@@ -126,12 +126,12 @@
 }
 
 // applyService applies the diff of one service to former, its base.
-func applyService(difference *peerv1.ServiceSlices, former []fleet.Slice) []fleet.Slice {
+func applyService(difference *peerv1.ServiceSlices, base []fleet.Slice) []fleet.Slice {
 	replaced := make(map[uint16]bool, len(difference.Slices)+len(difference.Removed))
 	for _, first := range difference.Removed {
 		replaced[uint16(first)] = true
 	}
-	owned := make([]fleet.Slice, 0, len(former)+len(difference.Slices))
+	owned := make([]fleet.Slice, 0, len(base)+len(difference.Slices))
 	for _, s := range difference.Slices {
 		replaced[uint16(s.First)] = true
 		owned = append(owned, fleet.Slice{
@@ -139,7 +139,7 @@
 			Ready: s.Ready,
 		})
 	}
-	for _, s := range former {
+	for _, s := range base {
 		if !replaced[s.First] {
 			owned = append(owned, s)
 		}
@@ -148,16 +148,16 @@
 	return owned
 }
 
-// membersSince returns the diff from a former set of VMs and brokers to the present
+// diffMembers returns the diff from a former set of VMs and brokers to the present
 // one.
-func membersSince(former, present memberSet, _ time.Time) proto.Message {
+func diffMembers(former, present memberSet, _ time.Time) proto.Message {
 	list := &peerv1.MemberList{
 		Brokers: map[string]string{},
-		Removed: lacking(former.members, present.members), RemovedBrokers: lacking(former.brokers, present.brokers),
+		Removed: removedKeys(former.members, present.members), RemovedBrokers: removedKeys(former.brokers, present.brokers),
 	}
 	for vm, m := range present.members {
 		if before, known := former.members[vm]; !known || before != m {
-			list.Members = append(list.Members, identity(m))
+			list.Members = append(list.Members, memberToWire(m))
 		}
 	}
 	for service, vm := range present.brokers {
@@ -169,25 +169,25 @@
 }
 
 // applyMembers applies a diff to former, its base, and returns the VMs and brokers.
-func applyMembers(list *peerv1.MemberList, former memberSet) memberSet {
-	after := memberSet{maps.Clone(former.members), maps.Clone(former.brokers)}
-	if after.members == nil {
-		after.members = map[string]fleet.Member{}
+func applyMembers(list *peerv1.MemberList, base memberSet) memberSet {
+	updated := memberSet{maps.Clone(base.members), maps.Clone(base.brokers)}
+	if updated.members == nil {
+		updated.members = map[string]fleet.Member{}
 	}
-	if after.brokers == nil {
-		after.brokers = map[string]string{}
+	if updated.brokers == nil {
+		updated.brokers = map[string]string{}
 	}
 	for _, m := range list.Members {
-		after.members[m.Vm] = memberFromWire(m)
+		updated.members[m.Vm] = memberFromWire(m)
 	}
-	maps.Copy(after.brokers, list.Brokers)
+	maps.Copy(updated.brokers, list.Brokers)
 	for _, vm := range list.Removed {
-		delete(after.members, vm)
+		delete(updated.members, vm)
 	}
 	for _, service := range list.RemovedBrokers {
-		delete(after.brokers, service)
+		delete(updated.brokers, service)
 	}
-	return after
+	return updated
 }
 
 func repeatsToWire(counts map[string]admission.RepeatCount) []*peerv1.ServiceRepeats {
@@ -210,6 +210,6 @@
 	return fleet.Member{VM: m.Vm, Incarnation: m.Incarnation, Address: m.Address, Processor: m.ProcessorMillis, FailureDomain: m.FailureDomain}
 }
 
-func identity(m fleet.Member) *peerv1.VmIdentity {
+func memberToWire(m fleet.Member) *peerv1.VmIdentity {
 	return &peerv1.VmIdentity{Vm: m.VM, Incarnation: m.Incarnation, Address: m.Address, ProcessorMillis: m.Processor, FailureDomain: m.FailureDomain}
 }
