--- a/internal/process/coordinator/coordinator_test.go
+++ b/internal/process/coordinator/coordinator_test.go
@@ -40,19 +40,19 @@
 func (w *world) servedWithin(limit time.Duration) time.Duration {
 	began := time.Now()
 	for time.Since(began) < limit {
-		if w.heldCount() == sampled {
+		if w.heldCount() == checkedKeys {
 			return time.Since(began)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	w.problem("%d of %d keys are held after %s, want all", w.heldCount(), sampled, limit)
+	w.problem("%d of %d keys are held after %s, want all", w.heldCount(), checkedKeys, limit)
 	return limit
 }
 
 // longestGap watches the keys for a time and returns the longest time for which
 // one of them was held by nobody.
 func (w *world) longestGap(watch time.Duration) time.Duration {
-	var since [sampled]time.Time
+	var since [checkedKeys]time.Time
 	longest := time.Duration(0)
 	for began := time.Now(); time.Since(began) < watch; time.Sleep(10 * time.Millisecond) {
 		for i, held := range w.heldKeys() {
@@ -69,8 +69,8 @@
 	return longest
 }
 
-// servedAgain is the time within which keys are to be served again after a loss.
-const servedAgain = time.Second
+// maxServeGap is the time within which keys are to be served again after a loss.
+const maxServeGap = time.Second
 
 // check reports a problem unless a condition holds. Unlike an assertion it does not end
 // the test, which would leave goroutines running in the bubble.
@@ -110,7 +110,7 @@
 		name, _ := w.leader()
 		w.killNode(name)
 		gap := w.longestGap(4 * time.Second)
-		w.check(gap < servedAgain, "a key was held by nobody for %s", gap)
+		w.check(gap < maxServeGap, "a key was held by nobody for %s", gap)
 		next, count := w.leader()
 		w.check(count == 1 && next != name, "%d leaders, %s after %s", count, next, name)
 	})
@@ -143,12 +143,12 @@
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
 		time.Sleep(4 * time.Second)
-		w.set(func() { w.listTakes, w.wholeLists = 600*time.Millisecond, 0 })
+		w.withLock(func() { w.listDelay, w.wholeLists = 600*time.Millisecond, 0 })
 		name, _ := w.leader()
 		w.killNode(name)
 		fewest := w.fewestTargets(4 * time.Second)
 		w.check(fewest == 6, "a VM knew %d of 6 targets", fewest)
-		w.set(func() { w.check(w.wholeLists == 0, "%d lists were sent as a whole", w.wholeLists) })
+		w.withLock(func() { w.check(w.wholeLists == 0, "%d lists were sent as a whole", w.wholeLists) })
 	})
 }
 
@@ -158,20 +158,20 @@
 // leavingKnownWithin waits until all nodes know that a target leaves.
 func (w *world) leavingKnownWithin(id string, limit time.Duration) {
 	began := time.Now()
-	for late := ""; ; time.Sleep(10 * time.Millisecond) {
-		late = ""
+	for uninformed := ""; ; time.Sleep(10 * time.Millisecond) {
+		uninformed = ""
 		for _, n := range w.nodes {
 			n.mu.Lock()
 			if t := n.view.Targets[id]; t == nil || !t.Leaving {
-				late = n.name
+				uninformed = n.name
 			}
 			n.mu.Unlock()
 		}
-		if late == "" {
+		if uninformed == "" {
 			return
 		}
 		if time.Since(began) > limit {
-			w.problem("%s does not know that %[3]s is leaving after %[2]s", late, limit, id)
+			w.problem("%s does not know that %[3]s is leaving after %[2]s", uninformed, limit, id)
 			return
 		}
 	}
@@ -184,10 +184,10 @@
 		w.servedWithin(2 * time.Second)
 		for _, id := range []string{"t1", "t2", "t3"} {
 			time.Sleep(3300 * time.Millisecond)
-			w.set(func() { w.loseTargets = 4 })
+			w.withLock(func() { w.dropTargets = 4 })
 			w.leaveTarget(id)
 			w.leavingKnownWithin(id, drainBound)
-			w.set(func() { w.check(w.loseTargets == 0, "%d messages were not lost", w.loseTargets) })
+			w.withLock(func() { w.check(w.dropTargets == 0, "%d messages were not lost", w.dropTargets) })
 		}
 	})
 }
@@ -199,14 +199,14 @@
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
 		leader, _ := w.leader()
-		alone := "n1"
-		if leader == alone {
-			alone = "n2"
+		isolated := "n1"
+		if leader == isolated {
+			isolated = "n2"
 		}
 		for _, id := range []string{"t1", "t2", "t3"} {
-			w.set(func() { w.cut[leader+">"+alone] = true })
+			w.withLock(func() { w.cut[leader+">"+isolated] = true })
 			time.Sleep(3500 * time.Millisecond)
-			w.set(func() { w.cut[leader+">"+alone] = false })
+			w.withLock(func() { w.cut[leader+">"+isolated] = false })
 			time.Sleep(400 * time.Millisecond)
 			w.leaveTarget(id)
 			w.leavingKnownWithin(id, drainBound)
@@ -250,7 +250,7 @@
 		w.outage = true
 		w.mu.Unlock()
 		gap := w.longestGap(10 * time.Second)
-		w.check(gap < servedAgain, "a key was held by nobody for %s", gap)
+		w.check(gap < maxServeGap, "a key was held by nobody for %s", gap)
 	})
 }
 
@@ -264,7 +264,7 @@
 		w.cut[name+">store"] = true
 		w.mu.Unlock()
 		gap := w.longestGap(2500 * time.Millisecond)
-		w.check(gap < servedAgain, "a key was held by nobody for %s", gap)
+		w.check(gap < maxServeGap, "a key was held by nobody for %s", gap)
 		next, count := w.leader()
 		w.check(count == 1 && next != name, "%d leaders, %s after %s", count, next, name)
 	})
@@ -280,7 +280,7 @@
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		for i := range sampled {
+		for i := range checkedKeys {
 			w.check(w.targets["t1"].keys[i].until.Before(time.Now()), "key %d is still held", i)
 		}
 	})
@@ -341,10 +341,10 @@
 	})
 }
 
-// takeAddress starts another target at the address of one that has ended, and waits
+// reuseAddress starts another target at the address of one that has ended, and waits
 // until all keys are served. The ended target's registration is removed only after the
 // new one's has been added.
-func (w *world) takeAddress(id string) {
+func (w *world) reuseAddress(id string) {
 	next := w.startTargetAt(id, id+"-next")
 	time.AfterFunc(1500*time.Millisecond, func() { w.put("servers/"+next.ID, next.Target) })
 	time.AfterFunc(2*time.Second, func() { w.remove("servers/" + id) })
@@ -358,7 +358,7 @@
 // fences of the first.
 func TestAddressIsTakenOverBehindACut(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
-		w.set(func() { w.fencesOfAll = true })
+		w.withLock(func() { w.checkEndedTargets = true })
 		w.servedWithin(2 * time.Second)
 		time.Sleep(2 * time.Second)
 		leader, _ := w.leader()
@@ -366,7 +366,7 @@
 		time.Sleep(time.Second)
 		w.endTarget("t2")
 		time.Sleep(3 * time.Second)
-		w.takeAddress("t2")
+		w.reuseAddress("t2")
 	})
 }
 
@@ -374,15 +374,15 @@
 // process at its address starts before the target's grants have expired.
 func TestNextProcessAtAnAddressGetsNoFormerFence(t *testing.T) {
 	for _, next := range []string{"t2", "t2-next"} {
-		for _, dark := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond, 2200 * time.Millisecond} {
-			t.Run(fmt.Sprintf("%s after %s", next, dark), func(t *testing.T) {
+		for _, silentFor := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond, 2200 * time.Millisecond} {
+			t.Run(fmt.Sprintf("%s after %s", next, silentFor), func(t *testing.T) {
 				run(t, seed.Value, 4, 5, func(w *world) {
-					w.set(func() { w.fencesOfAll = true })
+					w.withLock(func() { w.checkEndedTargets = true })
 					w.servedWithin(2 * time.Second)
 					time.Sleep(2 * time.Second)
 					w.endSilently("t2")
-					time.Sleep(dark)
-					w.register("t2", next)
+					time.Sleep(silentFor)
+					w.startAndRegister("t2", next)
 					w.servedWithin(8 * time.Second)
 					time.Sleep(2 * time.Second)
 				})
@@ -394,20 +394,20 @@
 // TestNextLifeThatTookAGrantDuringTheProbeKeepsIt: a target restarts, and is granted
 // keys, while other VMs probe whether its former life has ended.
 func TestNextLifeThatTookAGrantDuringTheProbeKeepsIt(t *testing.T) {
-	for dark := 50 * time.Millisecond; dark < time.Second; dark += 50 * time.Millisecond {
-		t.Run(dark.String(), func(t *testing.T) {
+	for silentFor := 50 * time.Millisecond; silentFor < time.Second; silentFor += 50 * time.Millisecond {
+		t.Run(silentFor.String(), func(t *testing.T) {
 			run(t, seed.Value, 4, 5, func(w *world) {
 				w.servedWithin(2 * time.Second)
 				time.Sleep(2 * time.Second)
 				leader, _ := w.leader()
-				for _, far := range everybody(4, 0) {
+				for _, far := range allNames(4, 0) {
 					if domainOf(far) != domainOf("t2") {
 						w.cutFor(2*time.Second, leader+">"+far)
 					}
 				}
 				w.endTarget("t2")
-				time.Sleep(dark)
-				w.register("t2", "t2")
+				time.Sleep(silentFor)
+				w.startAndRegister("t2", "t2")
 				time.Sleep(4 * time.Second)
 			})
 		})
@@ -420,41 +420,41 @@
 func TestReplacedLeaderGivesNoKeysToANextLife(t *testing.T) {
 	for i := range uint64(8) {
 		run(t, seed.Value+i, 4, 5, func(w *world) {
-			w.set(func() { w.fencesOfAll = true })
+			w.withLock(func() { w.checkEndedTargets = true })
 			w.servedWithin(2 * time.Second)
 			time.Sleep(2*time.Second + time.Duration(i)*90*time.Millisecond)
 			leader, _ := w.leader()
-			for _, other := range everybody(4, 0) {
+			for _, other := range allNames(4, 0) {
 				w.cutBetween(5*time.Second, leader, other)
 			}
 			w.cutFor(5*time.Second, leader+">store")
-			for began := time.Now(); !w.noted("a higher fence was seen"); time.Sleep(5 * time.Millisecond) {
+			for began := time.Now(); !w.historyContains("a higher fence was seen"); time.Sleep(5 * time.Millisecond) {
 				if time.Since(began) > 4*time.Second {
-					w.set(func() { w.problem("no order of the former leader was refused for its fence") })
+					w.withLock(func() { w.problem("no order of the former leader was refused for its fence") })
 					return
 				}
 			}
 			w.endTarget("t2")
-			w.register("t2", "t2")
+			w.startAndRegister("t2", "t2")
 			time.Sleep(4 * time.Second)
 		})
 	}
 }
 
-// noted reports whether a line of the history contains a text.
-func (w *world) noted(text string) bool {
+// historyContains reports whether a line of the history contains a text.
+func (w *world) historyContains(text string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.ContainsFunc(w.history, func(line string) bool { return strings.Contains(line, text) })
 }
 
-// register starts a target at the address of target place, and registers it after it
+// startAndRegister starts a target at the address of target place, and registers it after it
 // has run for a while.
-func (w *world) register(place, id string) {
-	next := w.startTargetAt(place, id)
+func (w *world) startAndRegister(former, id string) {
+	next := w.startTargetAt(former, id)
 	time.AfterFunc(1500*time.Millisecond, func() { w.put("servers/"+id, next.Target) })
-	if id != place {
-		time.AfterFunc(2*time.Second, func() { w.remove("servers/" + place) })
+	if id != former {
+		time.AfterFunc(2*time.Second, func() { w.remove("servers/" + former) })
 	}
 }
 
@@ -464,7 +464,7 @@
 // its predecessor could not renew.
 func TestAddressIsTakenOverBeforeTheLeadChanges(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
-		w.set(func() { w.fencesOfAll = true })
+		w.withLock(func() { w.checkEndedTargets = true })
 		w.servedWithin(2 * time.Second)
 		time.Sleep(2 * time.Second)
 		leader, _ := w.leader()
@@ -472,10 +472,10 @@
 		w.endTarget("t2")
 		time.Sleep(longerThanAGrant - 1200*time.Millisecond)
 		w.nodes[leader].freeze(8 * time.Second)
-		w.set(func() { w.outage = true })
+		w.withLock(func() { w.outage = true })
 		time.Sleep(1200 * time.Millisecond)
-		w.set(func() { w.outage = false })
-		w.takeAddress("t2")
+		w.withLock(func() { w.outage = false })
+		w.reuseAddress("t2")
 	})
 }
 
@@ -487,7 +487,7 @@
 		w.servedWithin(2 * time.Second)
 		time.Sleep(2 * time.Second)
 		leader, _ := w.leader()
-		inside, outside := divide(everybody(4, 0), leader, 2)
+		inside, outside := divide(allNames(4, 0), leader, 2)
 		for _, name := range inside {
 			w.cutFor(20*time.Second, name+">store")
 			for _, other := range outside {
@@ -509,20 +509,20 @@
 		w.servedWithin(2 * time.Second)
 		time.Sleep(2 * time.Second)
 		leader, _ := w.leader()
-		alone := ""
-		for _, name := range everybody(4, 0) {
+		isolated := ""
+		for _, name := range allNames(4, 0) {
 			if name != leader && domainOf(name) != domainOf("t2") {
-				alone = name
+				isolated = name
 			}
 		}
-		for _, name := range everybody(4, 0) {
-			if name == alone {
+		for _, name := range allNames(4, 0) {
+			if name == isolated {
 				continue
 			}
 			w.cutFor(25*time.Second, name+">store")
-			w.cutBetween(25*time.Second, name, alone)
+			w.cutBetween(25*time.Second, name, isolated)
 		}
-		w.cutFor(25*time.Second, alone+">t2")
+		w.cutFor(25*time.Second, isolated+">t2")
 		time.Sleep(8 * time.Second)
 		w.leaveTarget("t2")
 		time.Sleep(16 * time.Second)
@@ -539,7 +539,7 @@
 			Life: fleet.Life{ID: "t2", Born: time.Now().UnixMilli()}, Service: "undeclared", Address: "t3:1", FailureDomain: "a", Slots: 2,
 		})
 		time.Sleep(3 * time.Second)
-		w.returnTarget("t2")
+		w.restoreRegistration("t2")
 		w.servedWithin(4 * time.Second)
 	})
 }
@@ -561,8 +561,8 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		assert.Assert(t, next != former)
-		assert.DeepEqual(t, n.repeated, spent)
-		assert.Assert(t, ended.Sub(n.repeatedAt).Abs() < time.Second, "last heartbeat %v before the leader's end", ended.Sub(n.repeatedAt))
+		assert.DeepEqual(t, n.retryCounts, spent)
+		assert.Assert(t, ended.Sub(n.retryCountsAt).Abs() < time.Second, "last heartbeat %v before the leader's end", ended.Sub(n.retryCountsAt))
 	})
 }
 
@@ -583,7 +583,7 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
 			run(t, seed.Value+i, 4, 5, func(w *world) {
-				w.set(func() { w.fencesOfAll, w.holdsBack = true, true })
+				w.withLock(func() { w.checkEndedTargets, w.delaysMessages = true, true })
 				w.servedWithin(2 * time.Second)
 				faults, longest, pause := 20, 4000, 1800
 				if i%2 == 1 {
@@ -607,60 +607,60 @@
 	name := fmt.Sprintf("n%d", w.draw(4))
 	id := fmt.Sprintf("t%d", w.draw(5))
 	if w.draw(2) == 0 {
-		if leader, _ := w.leaderWithin(); leader != "" {
+		if leader, _ := w.leaderInViews(); leader != "" {
 			name = leader
 		}
 	}
-	for2s := time.Duration(500+w.draw(longest)) * time.Millisecond
+	duration := time.Duration(500+w.draw(longest)) * time.Millisecond
 	kind := w.draw(21)
-	w.set(func() { w.note("fault %d, %s, %s, %s", kind, name, id, for2s) })
+	w.withLock(func() { w.note("fault %d, %s, %s, %s", kind, name, id, duration) })
 	switch kind {
 	case 0:
 		w.killNode(name)
-		time.AfterFunc(for2s/3, func() { w.restartNode(name) })
+		time.AfterFunc(duration/3, func() { w.restartNode(name) })
 	case 1:
 		w.mu.Lock()
 		n := w.nodes[name]
 		w.mu.Unlock()
 		if n != nil {
-			n.freeze(for2s)
+			n.freeze(duration)
 		}
 	case 2:
-		w.cutFor(for2s, name+">store")
+		w.cutFor(duration, name+">store")
 	case 3:
 		for i := range 4 {
 			other := fmt.Sprintf("n%d", i)
-			w.cutFor(for2s, name+">"+other)
+			w.cutFor(duration, name+">"+other)
 			if w.draw(2) == 0 {
-				w.cutFor(for2s, other+">"+name)
+				w.cutFor(duration, other+">"+name)
 			}
 		}
 	case 4:
-		w.cutFor(for2s, name+">"+id)
+		w.cutFor(duration, name+">"+id)
 	case 5:
-		w.set(func() { w.outage = true })
-		time.AfterFunc(for2s, func() { w.set(func() { w.outage = false }) })
+		w.withLock(func() { w.outage = true })
+		time.AfterFunc(duration, func() { w.withLock(func() { w.outage = false }) })
 	case 6:
-		w.set(func() { w.loseAnswers = 0.4 })
-		time.AfterFunc(for2s, func() { w.set(func() { w.loseAnswers = 0 }) })
+		w.withLock(func() { w.loseAnswers = 0.4 })
+		time.AfterFunc(duration, func() { w.withLock(func() { w.loseAnswers = 0 }) })
 	case 7:
-		w.set(func() { w.lateOrders = 0.3 })
-		time.AfterFunc(for2s, func() { w.set(func() { w.lateOrders = 0 }) })
+		w.withLock(func() { w.lateOrders = 0.3 })
+		time.AfterFunc(duration, func() { w.withLock(func() { w.lateOrders = 0 }) })
 	case 8:
-		w.set(func() { w.targets[id].silent = true })
-		time.AfterFunc(for2s, func() { w.set(func() { w.targets[id].silent = false }) })
+		w.withLock(func() { w.targets[id].silent = true })
+		time.AfterFunc(duration, func() { w.withLock(func() { w.targets[id].silent = false }) })
 	case 9:
 		w.endTarget(id)
-		time.AfterFunc(for2s/2, func() { w.startTarget(id) })
+		time.AfterFunc(duration/2, func() { w.startTarget(id) })
 	case 10:
 		w.leaveTarget(id)
-		time.AfterFunc(for2s, func() { w.returnTarget(id) })
+		time.AfterFunc(duration, func() { w.restoreRegistration(id) })
 	case 11:
 		w.remove("servers/" + id)
-		time.AfterFunc(for2s, func() { w.returnTarget(id) })
+		time.AfterFunc(duration, func() { w.restoreRegistration(id) })
 	case 14:
 		w.endTarget(id)
-		time.AfterFunc(for2s/2, func() {
+		time.AfterFunc(duration/2, func() {
 			next := w.startTargetAt(id, fmt.Sprintf("%s-%d", id, time.Now().UnixMilli()))
 			time.Sleep(500 * time.Millisecond)
 			w.put("servers/"+next.ID, next.Target)
@@ -669,40 +669,40 @@
 		})
 	case 15:
 		w.endSilently(id)
-		time.AfterFunc(for2s/2, func() { w.register(id, fmt.Sprintf("%s-%d", id, time.Now().UnixMilli())) })
+		time.AfterFunc(duration/2, func() { w.startAndRegister(id, fmt.Sprintf("%s-%d", id, time.Now().UnixMilli())) })
 	case 16:
 		w.endSilently(id)
-		time.AfterFunc(for2s/2, func() { w.register(id, id) })
+		time.AfterFunc(duration/2, func() { w.startAndRegister(id, id) })
 	case 17:
 		opening := time.Duration(w.draw(600)) * time.Millisecond
-		w.set(func() { w.openings[id+":1"] = opening })
-		time.AfterFunc(for2s, func() { w.set(func() { delete(w.openings, id+":1") }) })
+		w.withLock(func() { w.connectDelays[id+":1"] = opening })
+		time.AfterFunc(duration, func() { w.withLock(func() { delete(w.connectDelays, id+":1") }) })
 		w.loseConnections(id)
 	case 18:
 		w.leaveTarget(id)
-		time.AfterFunc(for2s/2, func() { w.register(id, id) })
+		time.AfterFunc(duration/2, func() { w.startAndRegister(id, id) })
 	case 19:
 		w.mu.Lock()
 		n := w.nodes[name]
 		w.mu.Unlock()
 		if n != nil {
 			n.loop.Post(n.coordinator.Leave)
-			time.AfterFunc(for2s/3, func() { w.killNode(name) })
-			time.AfterFunc(for2s/2, func() { w.restartNode(name) })
+			time.AfterFunc(duration/3, func() { w.killNode(name) })
+			time.AfterFunc(duration/2, func() { w.restartNode(name) })
 		}
 	case 20:
 		takes := time.Duration(w.draw(1400)) * time.Millisecond
-		w.set(func() { w.answersTake[name] = takes })
-		time.AfterFunc(for2s, func() { w.set(func() { delete(w.answersTake, name) }) })
+		w.withLock(func() { w.storeAnswerDelays[name] = takes })
+		time.AfterFunc(duration, func() { w.withLock(func() { delete(w.storeAnswerDelays, name) }) })
 	case 12, 13:
 		w.cutDomain(domainOf(id), 4, 5, kind == 12, true)
-		time.AfterFunc(for2s, func() { w.cutDomain(domainOf(id), 4, 5, kind == 12, false) })
+		time.AfterFunc(duration, func() { w.cutDomain(domainOf(id), 4, 5, kind == 12, false) })
 	}
 }
 
-// leaderWithin returns the leader in a running VM's view. Unlike leader it does not wait
+// leaderInViews returns the leader in a running VM's view. Unlike leader it does not wait
 // for frozen VMs.
-func (w *world) leaderWithin() (string, bool) {
+func (w *world) leaderInViews() (string, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
@@ -716,8 +716,8 @@
 	return "", false
 }
 
-// set calls change while it holds w.mu.
-func (w *world) set(change func()) {
+// withLock calls change while it holds w.mu.
+func (w *world) withLock(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
@@ -725,8 +725,8 @@
 
 // cutFor cuts the path of a pair "from>to" for a time.
 func (w *world) cutFor(duration time.Duration, pair string) {
-	w.set(func() { w.cut[pair] = true })
-	time.AfterFunc(duration, func() { w.set(func() { delete(w.cut, pair) }) })
+	w.withLock(func() { w.cut[pair] = true })
+	time.AfterFunc(duration, func() { w.withLock(func() { delete(w.cut, pair) }) })
 }
 
 // divide splits VMs into a group of a size that contains the VM with, and the others.
@@ -760,9 +760,9 @@
 	}
 }
 
-// returnTarget restores the registration of a target that was draining or removed, in
+// restoreRegistration restores the registration of a target that was draining or removed, in
 // the same life.
-func (w *world) returnTarget(id string) {
+func (w *world) restoreRegistration(id string) {
 	w.mu.Lock()
 	target := w.targets[id].Target
 	w.mu.Unlock()
@@ -771,7 +771,7 @@
 
 // heal ends the faults, and starts the VMs and targets that have ended.
 func (w *world) heal() {
-	w.set(func() {
+	w.withLock(func() {
 		clear(w.cut)
 		clear(w.refused)
 		w.outage, w.loseAnswers, w.lateOrders = false, 0, 0
@@ -788,7 +788,7 @@
 		if ended {
 			w.startTarget(id)
 		} else {
-			w.returnTarget(id)
+			w.restoreRegistration(id)
 		}
 	}
 }
@@ -801,9 +801,9 @@
 			w.servedWithin(2 * time.Second)
 			time.Sleep(2 * time.Second)
 			name, _ := w.leader()
-			w.set(func() { w.outage = true })
+			w.withLock(func() { w.outage = true })
 			time.Sleep(4*time.Second + time.Duration(i)*70*time.Millisecond)
-			w.set(func() { w.outage = false })
+			w.withLock(func() { w.outage = false })
 			time.Sleep(3 * time.Second)
 			next, count := w.leader()
 			w.check(count == 1 && next == name, "%d leaders, %s after %s", count, next, name)
@@ -814,14 +814,14 @@
 // cutDomain partitions a failure domain off from the others if cut is set, or heals the
 // partition. If refuses is set, connections are refused, otherwise packets are dropped.
 func (w *world) cutDomain(domain string, nodes, targets int, refuses, cut bool) {
-	w.set(func() {
+	w.withLock(func() {
 		pairs := w.cut
 		if refuses {
 			pairs = w.refused
 		}
 		for i := range nodes {
 			from := fmt.Sprintf("n%d", i)
-			for _, to := range everybody(nodes, targets) {
+			for _, to := range allNames(nodes, targets) {
 				if (domainOf(from) == domain) != (domainOf(to) == domain) {
 					pairs[from+">"+to] = cut
 				}
@@ -830,8 +830,8 @@
 	})
 }
 
-// everybody returns the names of all nodes and targets.
-func everybody(nodes, targets int) []string {
+// allNames returns the names of all nodes and targets.
+func allNames(nodes, targets int) []string {
 	var names []string
 	for i := range nodes {
 		names = append(names, fmt.Sprintf("n%d", i))
@@ -893,7 +893,7 @@
 		w.check(count == 1, "%d leaders without a large VM", count)
 		w.startNode("n4")
 		gap := w.longestGap(7 * time.Second)
-		w.check(gap < servedAgain, "a key was held by nobody for %s", gap)
+		w.check(gap < maxServeGap, "a key was held by nobody for %s", gap)
 		last, count := w.leader()
 		w.check(count == 1 && last == "n4", "%d leaders, %s after the return of a large VM", count, last)
 	})
@@ -905,11 +905,11 @@
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
 		time.Sleep(time.Second)
-		w.set(func() { w.working = map[string]int{"t2": 1} })
+		w.withLock(func() { w.inFlight = map[string]int{"t2": 1} })
 		w.endTarget("t2")
 		time.Sleep(time.Second)
-		w.check(w.heldCount() < sampled, "keys were given away while their target was at work")
-		w.set(func() { w.working = nil })
+		w.check(w.heldCount() < checkedKeys, "keys were given away while their target was at work")
+		w.withLock(func() { w.inFlight = nil })
 		w.servedWithin(time.Second)
 	})
 }
--- a/internal/process/coordinator/former_test.go
+++ b/internal/process/coordinator/former_test.go
@@ -20,7 +20,7 @@
 				time.Sleep(3*time.Second + after)
 				former, _ := w.leader()
 				w.cutFor(20*time.Second, former+">store")
-				for _, name := range everybody(5, 0) {
+				for _, name := range allNames(5, 0) {
 					w.cutBetween(20*time.Second, former, name)
 				}
 				time.Sleep(500 * time.Millisecond)
@@ -40,13 +40,13 @@
 			return
 		}
 	}
-	w.set(func() { w.problem("%s still holds keys after %s", id, within) })
+	w.withLock(func() { w.problem("%s still holds keys after %s", id, within) })
 }
 
 func (w *world) holdsAny(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range sampled {
+	for i := range checkedKeys {
 		if time.Now().Before(w.targets[id].keys[i].until) {
 			return true
 		}
@@ -63,7 +63,7 @@
 			run(t, seed.Value, 4, 5, func(w *world) {
 				w.servedWithin(2 * time.Second)
 				time.Sleep(3 * time.Second)
-				w.set(func() { w.openings["t2:1"] = 580 * time.Millisecond })
+				w.withLock(func() { w.connectDelays["t2:1"] = 580 * time.Millisecond })
 				w.loseConnections("t2")
 				w.awaitOpening("t2:1", 2*time.Second)
 				w.leaveTarget("t2")
@@ -80,12 +80,12 @@
 func (w *world) awaitOpening(address string, within time.Duration) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		opening := 0
-		w.set(func() { opening = w.opening[address] })
+		w.withLock(func() { opening = w.connecting[address] })
 		if opening > 0 {
 			return
 		}
 	}
-	w.set(func() { w.problem("no connection to %s was opened within %s", address, within) })
+	w.withLock(func() { w.problem("no connection to %s was opened within %s", address, within) })
 }
 
 // TestReportsThatWereHeldUpConfirmNobody: a leader that was cut off has been replaced, and then
@@ -96,11 +96,11 @@
 			run(t, seed.Value+i, 5, 6, func(w *world) {
 				w.servedWithin(2 * time.Second)
 				time.Sleep(3*time.Second + time.Duration(i)*110*time.Millisecond)
-				w.set(func() { w.holdsBack = true })
+				w.withLock(func() { w.delaysMessages = true })
 				first, _ := w.leader()
 				w.cutFor(20*time.Second, first+">store")
-				others := slices.DeleteFunc(everybody(5, 0), func(name string) bool { return name == first })
-				w.set(func() {
+				others := slices.DeleteFunc(allNames(5, 0), func(name string) bool { return name == first })
+				w.withLock(func() {
 					for _, name := range others {
 						w.cut[first+">"+name], w.cut[name+">"+first] = true, true
 					}
@@ -132,7 +132,7 @@
 			}
 		}
 	}
-	w.set(func() { w.problem("no VM besides %s leads after %s", former, within) })
+	w.withLock(func() { w.problem("no VM besides %s leads after %s", former, within) })
 	return ""
 }
 
@@ -145,10 +145,10 @@
 				w.servedWithin(2 * time.Second)
 				time.Sleep(3 * time.Second)
 				first, _ := w.leader()
-				w.set(func() { w.answersTake[first] = 1400 * time.Millisecond })
+				w.withLock(func() { w.storeAnswerDelays[first] = 1400 * time.Millisecond })
 				time.Sleep(after)
 				w.loseConnections("t2")
-				for _, name := range everybody(5, 0) {
+				for _, name := range allNames(5, 0) {
 					if name != first {
 						w.cutBetween(20*time.Second, first, name)
 					}
@@ -171,9 +171,9 @@
 			run(t, seed.Value, vms, 6, func(w *world) {
 				w.servedWithin(2 * time.Second)
 				time.Sleep(3 * time.Second)
-				w.set(func() { w.outage = true })
+				w.withLock(func() { w.outage = true })
 				time.Sleep(3 * time.Second)
-				for _, id := range everybody(0, 6) {
+				for _, id := range allNames(0, 6) {
 					w.loseConnections(id)
 				}
 				gap := w.longestGap(10 * time.Second)
@@ -193,7 +193,7 @@
 				w.servedWithin(2 * time.Second)
 				time.Sleep(3 * time.Second)
 				first, _ := w.leader()
-				w.set(func() { w.openings[first+">t2:1"] = 590 * time.Millisecond })
+				w.withLock(func() { w.connectDelays[first+">t2:1"] = 590 * time.Millisecond })
 				w.loseConnections("t2")
 				w.awaitOpening("t2:1", 2*time.Second)
 				time.Sleep(after)
@@ -215,25 +215,25 @@
 	for i := range uint64(8) {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			run(t, seed.Value+i, 5, 6, func(w *world) {
-				w.set(func() { w.fencesOfAll = true })
+				w.withLock(func() { w.checkEndedTargets = true })
 				w.servedWithin(2 * time.Second)
 				time.Sleep(3*time.Second + time.Duration(i)*90*time.Millisecond)
 				first, _ := w.leader()
-				inside, outside := divide(everybody(5, 0), first, 3)
+				inside, outside := divide(allNames(5, 0), first, 3)
 				for _, name := range inside {
 					w.cutFor(20*time.Second, name+">store")
 					for _, other := range outside {
 						w.cutBetween(20*time.Second, name, other)
 					}
 				}
-				for began := time.Now(); !w.noted("a higher fence was seen"); time.Sleep(5 * time.Millisecond) {
+				for began := time.Now(); !w.historyContains("a higher fence was seen"); time.Sleep(5 * time.Millisecond) {
 					if time.Since(began) > 8*time.Second {
-						w.set(func() { w.problem("no order of the former leader was refused") })
+						w.withLock(func() { w.problem("no order of the former leader was refused") })
 						return
 					}
 				}
 				w.endTarget("t2")
-				w.register("t2", "t2")
+				w.startAndRegister("t2", "t2")
 				time.Sleep(4 * time.Second)
 			})
 		})
@@ -249,25 +249,25 @@
 		time.Sleep(2 * time.Second)
 		leader, _ := w.leader()
 		isolated := ""
-		for _, name := range everybody(5, 0) {
+		for _, name := range allNames(5, 0) {
 			if name != leader && domainOf(name) != domainOf(leader) {
 				isolated = name
 			}
 		}
-		for _, name := range everybody(5, 0) {
+		for _, name := range allNames(5, 0) {
 			if name == isolated {
 				continue
 			}
 			w.cutFor(25*time.Second, name+">store")
 			w.cutBetween(25*time.Second, name, isolated)
-			for _, id := range everybody(0, 6) {
+			for _, id := range allNames(0, 6) {
 				if domainOf(id) == domainOf(isolated) {
 					w.cutFor(25*time.Second, name+">"+id)
 				}
 			}
 		}
 		var unreachable []string
-		for _, id := range everybody(0, 6) {
+		for _, id := range allNames(0, 6) {
 			if domainOf(id) != domainOf(isolated) {
 				w.cutFor(25*time.Second, isolated+">"+id)
 				unreachable = append(unreachable, id)
--- a/internal/process/coordinator/target_test.go
+++ b/internal/process/coordinator/target_test.go
@@ -20,7 +20,7 @@
 	// silent targets neither accept nor answer orders. Orders that wait for a silent
 	// target that has ended reach the next target at its address.
 	silent bool
-	keys   [sampled]heldKey
+	keys   [checkedKeys]heldKey
 }
 
 // heldKey is a target's state of a key.
@@ -97,7 +97,7 @@
 func (n *node) Grant(ctx context.Context, to fleet.Target, slice fleet.Slice, again bool, hold time.Duration, _ string) error {
 	w := n.world
 	w.mu.Lock()
-	process, known := n.taken[slice.Fence]
+	process, known := n.acceptedBy[slice.Fence]
 	unknown := again && (!known || process.ended)
 	w.mu.Unlock()
 	if unknown {
@@ -112,10 +112,10 @@
 	return n.deliver(ctx, to, process, func(target *fakeTarget, arrived time.Time) error {
 		err := w.grant(target, slice, arrived.Add(hold), time.Since(arrived) > 0)
 		if ctx.Err() == nil && err == nil {
-			w.set(func() { n.taken[slice.Fence] = target })
+			w.withLock(func() { n.acceptedBy[slice.Fence] = target })
 		}
 		return err
-	}, func() { w.set(func() { delete(n.taken, slice.Fence) }) })
+	}, func() { w.withLock(func() { delete(n.acceptedBy, slice.Fence) }) })
 }
 
 // Release implements coordinator.Targets.
@@ -174,14 +174,14 @@
 // openConnection waits for as long as it takes to open a connection to an address.
 func (w *world) openConnection(ctx context.Context, from, address string) {
 	w.mu.Lock()
-	duration := max(w.openings[address], w.openings[from+">"+address])
-	w.opening[address]++
+	duration := max(w.connectDelays[address], w.connectDelays[from+">"+address])
+	w.connecting[address]++
 	w.mu.Unlock()
 	select {
 	case <-time.After(duration):
 	case <-ctx.Done():
 	}
-	w.set(func() { w.opening[address]-- })
+	w.withLock(func() { w.connecting[address]-- })
 }
 
 // loseConnections breaks the connections over which a target accepted its fences.
@@ -189,7 +189,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
-		maps.DeleteFunc(n.taken, func(_ uint64, taken *fakeTarget) bool { return taken.ID == id })
+		maps.DeleteFunc(n.acceptedBy, func(_ uint64, taken *fakeTarget) bool { return taken.ID == id })
 	}
 }
 
@@ -210,7 +210,7 @@
 
 // endSilently ends a target whose address drops packets instead of refusing connections.
 func (w *world) endSilently(id string) {
-	w.set(func() {
+	w.withLock(func() {
 		w.targets[id].end()
 		w.targets[id].silent = true
 	})
@@ -224,16 +224,16 @@
 	if target.ended {
 		return fault.New(fault.UnknownOutcome, "repeat", "no answer")
 	}
-	for i := range sampled {
-		if slice.Contains(sample(i)) && target.keys[i].highestFence > slice.Fence {
+	for i := range checkedKeys {
+		if slice.Contains(checkedKey(i)) && target.keys[i].highestFence > slice.Fence {
 			return fault.New(fault.Conflict, "use a higher fence", "a higher fence was seen")
 		}
 	}
-	for i := range sampled {
-		if !slice.Contains(sample(i)) {
+	for i := range checkedKeys {
+		if !slice.Contains(checkedKey(i)) {
 			continue
 		}
-		if w.fencesOfAll && !late {
+		if w.checkEndedTargets && !late {
 			w.checkFence(i, target, slice.Fence)
 		}
 		held := &target.keys[i]
@@ -254,7 +254,7 @@
 func (w *world) checkFence(i int, target *fakeTarget, fence uint64) {
 	last := &w.fenced[i]
 	if last.life != target.Life && fence <= last.fence {
-		w.problem("key %d: granted to %v at fence %d after %v had it at fence %d", sample(i), target.Life, fence, last.life, last.fence)
+		w.problem("key %d: granted to %v at fence %d after %v had it at fence %d", checkedKey(i), target.Life, fence, last.life, last.fence)
 	}
 	if fence >= last.fence {
 		last.life, last.fence = target.Life, fence
@@ -265,8 +265,8 @@
 func (w *world) release(target *fakeTarget, slice fleet.Slice) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range sampled {
-		if held := &target.keys[i]; slice.Contains(sample(i)) && slice.Fence >= held.fence {
+	for i := range checkedKeys {
+		if held := &target.keys[i]; slice.Contains(checkedKey(i)) && slice.Fence >= held.fence {
 			held.highestFence = max(held.highestFence, slice.Fence)
 			held.until = time.Time{}
 		}
@@ -284,20 +284,20 @@
 		held := other.keys[i]
 		if now.Before(held.until) {
 			w.problem("key %d: granted to %s at fence %d while %s holds it at fence %d for %s",
-				sample(i), owner.ID, owner.keys[i].fence, id, held.fence, held.until.Sub(now))
+				checkedKey(i), owner.ID, owner.keys[i].fence, id, held.fence, held.until.Sub(now))
 		}
 		if held.fence >= owner.keys[i].fence {
 			w.problem("key %d: granted to %s at fence %d after %s had it at fence %d",
-				sample(i), owner.ID, owner.keys[i].fence, id, held.fence)
+				checkedKey(i), owner.ID, owner.keys[i].fence, id, held.fence)
 		}
 	}
 }
 
 // heldKeys returns which of the sampled keys are held by a running target.
-func (w *world) heldKeys() (held [sampled]bool) {
+func (w *world) heldKeys() (held [checkedKeys]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range sampled {
+	for i := range checkedKeys {
 		for _, target := range w.targets {
 			held[i] = held[i] || !target.ended && time.Now().Before(target.keys[i].until)
 		}
--- a/internal/process/coordinator/world_test.go
+++ b/internal/process/coordinator/world_test.go
@@ -39,47 +39,47 @@
 	memory  *store.Memory
 	nodes   map[string]*node
 	targets map[string]*fakeTarget
-	// working counts the requests in flight by target.
-	working map[string]int
+	// inFlight counts the requests in flight by target.
+	inFlight map[string]int
 	// cut holds pairs "from>to" between which packets are dropped; "from>store" cuts a
 	// VM off from the store.
 	cut map[string]bool
 	// refused holds pairs "from>to" whose connections are refused although both run.
 	refused map[string]bool
-	// holdsBack delays messages between VMs over a cut path until it heals, instead of
+	// delaysMessages delays messages between VMs over a cut path until it heals, instead of
 	// dropping them.
-	holdsBack bool
-	// openings is how long it takes to open a connection for a new grant, by address or
+	delaysMessages bool
+	// connectDelays is how long it takes to open a connection for a new grant, by address or
 	// "from>to"; opening counts the connections that are being opened, by address.
-	openings map[string]time.Duration
-	opening  map[string]int
+	connectDelays map[string]time.Duration
+	connecting    map[string]int
 	// outage makes the store unavailable to all VMs.
 	outage bool
-	// answersTake is the delay of the store's answers to writes, by node.
-	answersTake map[string]time.Duration
+	// storeAnswerDelays is the delay of the store's answers to writes, by node.
+	storeAnswerDelays map[string]time.Duration
 	// loseAnswers is the share of writes whose answers are lost.
 	loseAnswers float64
 	// lateOrders is the share of orders that are not answered and are applied late.
 	lateOrders float64
 	// linkRate is the bandwidth of each node's link in bytes per second; 0 for no limit.
 	linkRate float64
-	// listTakes is how long the store takes to answer a list.
-	listTakes time.Duration
-	// loseTargets is the number of messages with targets to drop from now on, as if
+	// listDelay is how long the store takes to answer a list.
+	listDelay time.Duration
+	// dropTargets is the number of messages with targets to drop from now on, as if
 	// their session were lost.
-	loseTargets int
+	dropTargets int
 	// wholeLists counts the lists of targets, slices and members that were sent whole
 	// instead of as a diff.
 	wholeLists int
 	// calls is the last number given to a call, message or incarnation; waiting are
 	// the calls without a reply, by number.
-	calls   uint64
-	waiting map[uint64]chan *peerv1.Control
+	calls        uint64
+	pendingCalls map[uint64]chan *peerv1.Control
 	// problems are the failures found so far.
 	problems []string
-	// fencesOfAll extends the check of fences to targets that have ended.
-	fencesOfAll bool
-	fenced      [sampled]highestGrant
+	// checkEndedTargets extends the check of fences to targets that have ended.
+	checkEndedTargets bool
+	fenced            [checkedKeys]highestGrant
 	// history is a log of events, printed if there are problems.
 	history []string
 }
@@ -87,11 +87,11 @@
 // service is the only service of the world.
 const service = "keyed"
 
-// sampled is the number of keys that the world checks.
-const sampled = 64
+// checkedKeys is the number of keys that the world checks.
+const checkedKeys = 64
 
-// sample returns the i-th key to check.
-func sample(i int) uint16 { return uint16(i * fleet.Keys / sampled) }
+// checkedKey returns the i-th key to check.
+func checkedKey(i int) uint16 { return uint16(i * fleet.Keys / checkedKeys) }
 
 // node is a VM of the world.
 type node struct {
@@ -103,22 +103,22 @@
 	coordinator *coordinator.Coordinator
 	view        *fleet.View
 	mu          sync.Mutex
-	// taken are the processes that accepted a fence from this node; guarded by world.mu.
-	taken map[uint64]*fakeTarget
-	// linkFree is when the messages sent so far have left the node's link; guarded by
+	// acceptedBy are the processes that accepted a fence from this node; guarded by world.mu.
+	acceptedBy map[uint64]*fakeTarget
+	// linkFreeAt is when the messages sent so far have left the node's link; guarded by
 	// world.mu.
-	linkFree time.Time
-	// repeated are the retry-budget counters of the node's broker; repeatedAt is the
+	linkFreeAt time.Time
+	// retryCounts are the retry-budget counters of the node's broker; repeatedAt is the
 	// time of the heartbeat from which they were adopted.
-	repeated   map[string]admission.RepeatCount
-	repeatedAt time.Time
+	retryCounts   map[string]admission.RepeatCount
+	retryCountsAt time.Time
 }
 
 func newWorld(t *testing.T, seed uint64, nodes, targets int) *world {
 	w := &world{
 		t: t, began: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), memory: store.NewMemory(), nodes: map[string]*node{},
-		targets: map[string]*fakeTarget{}, cut: map[string]bool{}, refused: map[string]bool{}, waiting: map[uint64]chan *peerv1.Control{},
-		answersTake: map[string]time.Duration{}, openings: map[string]time.Duration{}, opening: map[string]int{},
+		targets: map[string]*fakeTarget{}, cut: map[string]bool{}, refused: map[string]bool{}, pendingCalls: map[uint64]chan *peerv1.Control{},
+		storeAnswerDelays: map[string]time.Duration{}, connectDelays: map[string]time.Duration{}, connecting: map[string]int{},
 	}
 	config := fleet.Config{Version: 1, Services: []fleet.Service{{Name: service, Keyed: true}}}
 	w.put("config/main", config)
@@ -154,7 +154,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls++
-	n := &node{world: w, name: name, incarnation: fmt.Sprintf("%s-%d", name, w.calls), loop: loop.New(), view: &fleet.View{}, taken: map[uint64]*fakeTarget{}}
+	n := &node{world: w, name: name, incarnation: fmt.Sprintf("%s-%d", name, w.calls), loop: loop.New(), view: &fleet.View{}, acceptedBy: map[uint64]*fakeTarget{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	logger := zerolog.New(historyWriter{w}).With().Str("vm", n.incarnation).Logger()
@@ -234,20 +234,20 @@
 func (n *node) observe(_, id string) (admission.Observation, bool) {
 	n.world.mu.Lock()
 	defer n.world.mu.Unlock()
-	return admission.Observation{Slowness: 1, Running: n.world.working[id]}, true
+	return admission.Observation{Slowness: 1, Running: n.world.inFlight[id]}, true
 }
 
 // repeats returns the retry-budget counters of the node's broker.
 func (n *node) repeats(time.Time) map[string]admission.RepeatCount {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.repeated
+	return n.retryCounts
 }
 
 func (n *node) adoptRepeats(counts map[string]admission.RepeatCount, heard time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.repeated, n.repeatedAt = counts, heard
+	n.retryCounts, n.retryCountsAt = counts, heard
 }
 
 // demand simulates an even load with a hot set that moves every 5 s.
@@ -278,8 +278,8 @@
 	DecodeEvacuation: func(o store.Object) string { return strings.TrimPrefix(o.Name, "evacuations/") },
 }
 
-// path reports whether messages get from one VM to another.
-func (w *world) path(from, to string) bool {
+// reachable reports whether messages get from one VM to another.
+func (w *world) reachable(from, to string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.cut[from+">"+to] && !w.refused[from+">"+to]
@@ -304,26 +304,26 @@
 		return 0
 	}
 	now := time.Now()
-	if n.linkFree.Before(now) {
-		n.linkFree = now
+	if n.linkFreeAt.Before(now) {
+		n.linkFreeAt = now
 	}
-	n.linkFree = n.linkFree.Add(time.Duration(float64(size) / n.world.linkRate * float64(time.Second)))
-	return n.linkFree.Sub(now)
+	n.linkFreeAt = n.linkFreeAt.Add(time.Duration(float64(size) / n.world.linkRate * float64(time.Second)))
+	return n.linkFreeAt.Sub(now)
 }
 
-// awaitPath waits until a cut path has healed, if the world holds messages back, and
+// waitForPath waits until a cut path has healed, if the world holds messages back, and
 // reports whether the message may be delivered. It holds back messages of ended
 // processes, too. Messages keep their order.
-func (w *world) awaitPath(from *node, to string) bool {
+func (w *world) waitForPath(from *node, to string) bool {
 	w.mu.Lock()
-	holds := w.holdsBack && !w.refused[from.name+">"+to]
+	holds := w.delaysMessages && !w.refused[from.name+">"+to]
 	w.calls++
-	place := time.Duration(w.calls) * time.Nanosecond
+	orderDelay := time.Duration(w.calls) * time.Nanosecond
 	w.mu.Unlock()
-	for limit := time.Now().Add(heldLongest); holds && time.Now().Before(limit); {
-		time.Sleep(heldStep - time.Since(w.began)%heldStep)
-		if w.path(from.name, to) {
-			time.Sleep(place)
+	for limit := time.Now().Add(heldMax); holds && time.Now().Before(limit); {
+		time.Sleep(heldPollInterval - time.Since(w.began)%heldPollInterval)
+		if w.reachable(from.name, to) {
+			time.Sleep(orderDelay)
 			return true
 		}
 	}
@@ -331,21 +331,21 @@
 }
 
 const (
-	// heldStep is the interval at which messages that are held back check the path;
+	// heldPollInterval is the interval at which messages that are held back check the path;
 	// after heldLongest they are lost.
-	heldStep    = 20 * time.Millisecond
-	heldLongest = 12 * time.Second
+	heldPollInterval = 20 * time.Millisecond
+	heldMax          = 12 * time.Second
 )
 
 // deliver delivers a message to a node, or to the call that it answers.
 func (w *world) deliver(from *node, to string, message *peerv1.Control) {
-	if !w.path(from.name, to) && !w.awaitPath(from, to) {
+	if !w.reachable(from.name, to) && !w.waitForPath(from, to) {
 		return
 	}
 	if message.ReplyTo != 0 {
 		w.mu.Lock()
-		answer := w.waiting[message.ReplyTo]
-		delete(w.waiting, message.ReplyTo)
+		answer := w.pendingCalls[message.ReplyTo]
+		delete(w.pendingCalls, message.ReplyTo)
 		w.mu.Unlock()
 		if answer != nil {
 			answer <- message
@@ -353,8 +353,8 @@
 		return
 	}
 	w.mu.Lock()
-	if message.GetFleetState().GetTargets() != nil && w.loseTargets > 0 {
-		w.loseTargets--
+	if message.GetFleetState().GetTargets() != nil && w.dropTargets > 0 {
+		w.dropTargets--
 		w.mu.Unlock()
 		return
 	}
@@ -386,7 +386,7 @@
 	w.calls++
 	message.Call = w.calls
 	answer := make(chan *peerv1.Control, 1)
-	w.waiting[message.Call] = answer
+	w.pendingCalls[message.Call] = answer
 	w.mu.Unlock()
 	if refused {
 		return nil, &peer.SendError{VM: vm, Cause: syscall.ECONNREFUSED}
@@ -430,16 +430,16 @@
 	}
 	w := s.node.world
 	if w.chance(&w.loseAnswers) {
-		late := time.Duration(rand.IntN(3)) * time.Second
+		delay := time.Duration(rand.IntN(3)) * time.Second
 		go func() {
-			time.Sleep(late)
+			time.Sleep(delay)
 			_, _ = w.memory.Put(context.Background(), name, value, expected)
 		}()
 		return 0, fault.New(fault.UnknownOutcome, "read back", "no answer")
 	}
 	version, err := w.memory.Put(ctx, name, value, expected)
 	w.mu.Lock()
-	takes := w.answersTake[s.node.name]
+	takes := w.storeAnswerDelays[s.node.name]
 	w.mu.Unlock()
 	time.Sleep(takes)
 	return version, err
@@ -457,7 +457,7 @@
 		return nil, 0, err
 	}
 	s.node.world.mu.Lock()
-	takes := s.node.world.listTakes
+	takes := s.node.world.listDelay
 	s.node.world.mu.Unlock()
 	time.Sleep(takes)
 	return s.node.world.memory.List(ctx, prefix)
