--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -114,14 +114,14 @@
 	// checkAt is when the next check of the leader record is due; zero while
 	// heartbeats arrive.
 	checkAt time.Time
-	// leaderUptimeMillis is the leader's uptime in milliseconds in its last heartbeat; 0 if
-	// there was none.
+	// leaderUptimeMillis is the leader's uptime in milliseconds in its last heartbeat; 0
+	// if there was none.
 	leaderUptimeMillis uint64
 	// leaderWrite is the number of the leader's last write of the record, as of its
 	// last heartbeat.
 	leaderWrite uint64
-	// recordRevision is the record's revision when it was last read, seenSince when
-	// it was first read at that revision.
+	// recordRevision is the record's revision when it was last read, recordRevisionSince
+	// when it was first read at that revision.
 	recordRevision      int64
 	recordRevisionSince time.Time
 	// checkPause is the pause before the next check of the record.
--- a/internal/process/coordinator/election.go
+++ b/internal/process/coordinator/election.go
@@ -12,8 +12,8 @@
 	// heartbeatTimeout is the time without a heartbeat of the leader after which a VM
 	// checks whether to take over: three heartbeats.
 	heartbeatTimeout = 800 * time.Millisecond
-	// isolatedRecordTimeout is the time without a change of the record after which a VM that
-	// no other VM answers takes over. A leader that reaches the store writes the
+	// isolatedRecordTimeout is the time without a change of the record after which a VM
+	// that no other VM answers takes over. A leader that reaches the store writes the
 	// record every 0.6 s.
 	isolatedRecordTimeout = 3500 * time.Millisecond
 	// recordTimeout is the same time if other VMs answer and most of them receive no
@@ -27,8 +27,8 @@
 	// that answer receives its heartbeats.
 	keepLeaderDivisor = 3
 	// rankStep is the delay between VMs of successive ranks that check the record,
-	// so that one has taken over before the next reads the store. lateStep is the
-	// delay between those ranked after the first firstRanks.
+	// so that one has taken over before the next reads the store. lowRankStep is the
+	// delay between those ranked after the first topRanks.
 	rankStep    = 40 * time.Millisecond
 	lowRankStep = 10 * time.Millisecond
 	topRanks    = 10
@@ -42,11 +42,11 @@
 	// before the leadership is handed over to it.
 	settledAfter = 3 * time.Second
 	// startSpread bounds the delay of a VM that knows no others, spread by its name;
-	// startSmall bounds its additional delay if it has less than a whole core.
+	// startSmallDelay bounds its additional delay if it has less than a whole core.
 	startSpread     = 100 * time.Millisecond
 	startSmallDelay = 200 * time.Millisecond
-	// checkPauseMin and lookMax bound the backoff between two checks of the record. lookMax
-	// also bounds the read itself.
+	// checkPauseMin and checkPauseMax bound the backoff between two checks of the record.
+	// checkPauseMax also bounds the read itself.
 	checkPauseMin = 150 * time.Millisecond
 	checkPauseMax = 900 * time.Millisecond
 )
@@ -60,15 +60,15 @@
 	// down, cannot reach the store, or is outranked.
 	yielding bool
 	// storeReturned is set if the leader yields only because it lost the store, and this
-	// VM has itself regained the store within storeBackGrace.
+	// VM has itself regained the store within storeReturnGrace.
 	storeReturned bool
-	// known counts the other VMs; asked, those that were queried; answered, those
-	// of them that answered; withoutLeader, those of them that receive no heartbeats of the
-	// leader either. refused counts the queried VMs whose port refused the connection.
+	// known counts the other VMs; asked, those that were queried; answered, those of them
+	// that answered; withoutLeader, those of them that receive no heartbeats of the leader
+	// either. refused counts the queried VMs whose port refused the connection.
 	known, asked, answered, withoutLeader, refused int
 	// silentFor is the time since the leader's last heartbeat.
 	silentFor time.Duration
-	// recordWritten is set if the leader has recordWritten the record since its last heartbeat.
+	// recordWritten is set if the leader has written the record since its last heartbeat.
 	recordWritten bool
 	// recordUnchangedFor is how long this VM has read the record at the same revision.
 	recordUnchangedFor time.Duration
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -22,8 +22,8 @@
 	recordRenewRetry = 300 * time.Millisecond
 	// stallThreshold is the time without a tick after which the process counts as having
 	// stalled, for instance because the VM was suspended. It then sends no orders for
-	// afterStall, and only once its leadership is confirmed again: messages that wait
-	// in its connections predate the stallThreshold.
+	// stallRecovery, and only once its leadership is confirmed again: messages that wait
+	// in its connections predate the stall.
 	stallThreshold = 600 * time.Millisecond
 	stallRecovery  = 300 * time.Millisecond
 	// storeLostAfter is the time without an answer from the store after which the
@@ -46,7 +46,7 @@
 	record     fleet.Record
 	revision   int64
 	leaseTable *leaseTable
-	// orderContext is the context of the orderContext to targets; stop cancels it.
+	// orderContext is the context of the orders to targets; cancelOrders cancels it.
 	orderContext context.Context
 	cancelOrders context.CancelFunc
 	members      map[string]*member
@@ -68,7 +68,7 @@
 	// leadingSince is when the leadership began.
 	leadingSince time.Time
 	// soleLeader is set once a majority follows this leader or the former leader has
-	// ended. No former leader can then act for longer than its remaining authority.
+	// ended: no former leader can act for longer than leaderLease after that.
 	soleLeader bool
 
 	// repeats are the retry-budget counters of this VM's broker as of repeatsAt.
--- a/internal/process/coordinator/member.go
+++ b/internal/process/coordinator/member.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// checkLeader reads the record and queries other VMs about the leader. Then looked decides
-// whether to follow or to take over.
+// checkLeader reads the record and queries other VMs about the leader. Then leaderChecked
+// decides whether to follow or to take over.
 func (c *Coordinator) checkLeader(now time.Time, silentFor time.Duration) {
 	c.checking = true
 	view, leader, yielding, leaderWrite := c.view, c.view.Leader, c.leaderYielding, c.leaderWrite
@@ -219,8 +219,8 @@
 	return found
 }
 
-// queryVMs queries up to askCount VMs whether they receive heartbeats of the leader of a
-// term, and counts the answers in e.
+// queryVMs queries up to queryCount VMs whether they receive heartbeats of the leader of
+// a term, and counts the answers in e.
 func (c *Coordinator) queryVMs(e *evidence, others []string, term uint64) {
 	type answer struct {
 		reply *peerv1.LeaderQueryReply
@@ -248,22 +248,22 @@
 	}
 }
 
-// sendLeaderQuery asks a VM, by its name or address, for its term, its incarnation and the
-// time since the last heartbeat that it received.
+// sendLeaderQuery asks a VM, by its name or address, for its term, its incarnation and
+// the time since the last heartbeat that it received.
 func (c *Coordinator) sendLeaderQuery(vm string) (*peerv1.LeaderQueryReply, error) {
 	reply, err := c.call(vm, &peerv1.Control{Kind: &peerv1.Control_LeaderQuery{LeaderQuery: &peerv1.LeaderQuery{}}})
 	return reply.GetLeaderQueryReply(), err
 }
 
-// call sends a request to another VM and waits up to askTimeout for the reply.
+// call sends a request to another VM and waits up to queryTimeout for the reply.
 func (c *Coordinator) call(vm string, question *peerv1.Control) (*peerv1.Control, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, queryTimeout)
 	defer cancel()
 	return c.config.Sender.Call(ctx, vm, question)
 }
 
-// answerLeaderQuery returns this VM's answer to a leader query; on a leader the time since
-// the last heartbeat is 0.
+// answerLeaderQuery returns this VM's answer to a leader query; on a leader the time
+// since the last heartbeat is 0.
 func (c *Coordinator) answerLeaderQuery() *peerv1.LeaderQueryReply {
 	reply := &peerv1.LeaderQueryReply{Term: c.view.Term, HeardMillisAgo: time.Since(c.heartbeatAt).Milliseconds(), Incarnation: c.config.Self.Incarnation}
 	if c.lead != nil {
@@ -272,8 +272,8 @@
 	return reply
 }
 
-// leaderEnded reports whether the process of a leader has leaderEnded; replaced is set if another
-// incarnation answers at its address. It runs outside the loop.
+// leaderEnded reports whether the process of a leader has ended; replaced is set if
+// another incarnation answers at its address. It runs outside the loop.
 func (c *Coordinator) leaderEnded(leader fleet.Member, view *fleet.View) (ended, replaced bool) {
 	if leader.VM == c.config.Self.VM {
 		replaced = leader.Incarnation != c.config.Self.Incarnation
@@ -291,8 +291,8 @@
 	return replaced, replaced
 }
 
-// leaderChecked decides, after a check of the record, whether to follow the leader that it
-// names, to take over, or to wait.
+// leaderChecked decides, after a check of the record, whether to follow the leader that
+// it names, to take over, or to wait.
 func (c *Coordinator) leaderChecked(record *fleet.Record, revision int64, err error, e evidence) {
 	c.checking = false
 	now := time.Now()
@@ -337,7 +337,7 @@
 	view.Term, view.Leader = record.Term, record.Leader
 	c.leaderYielding, c.leaderUptimeMillis, c.leaderWrite = false, 0, record.Write
 	if c.heartbeatAt.Before(now.Add(-heartbeatTimeout)) {
-		// Gives the new leader half of silentAfter to send its first heartbeat.
+		// Gives the new leader half of heartbeatTimeout to send its first heartbeat.
 		c.heartbeatAt = now.Add(-heartbeatTimeout / 2)
 	}
 	c.publish(&view)
--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -11,7 +11,7 @@
 )
 
 // listLinkTime bounds how long the leader's link is busy with the whole lists of targets
-// that are in flight at once. It is well below silentAfter, so that no heartbeat is
+// that are in flight at once. It is well below heartbeatTimeout, so that no heartbeat is
 // missed behind them.
 const listLinkTime = 100 * time.Millisecond
 
@@ -27,14 +27,14 @@
 	followConfirmedAt time.Duration
 	// term is the term in the VM's last report.
 	term uint64
-	// sentVersions are the versions that were last sentVersions; nil until the VM's first report.
-	// detailsAt is when the owners of keys or the VMs were last sentVersions.
+	// sentVersions are the versions that were last sent; nil until the VM's first report.
+	// detailsSentAt is when the owners of keys or the VMs were last sent.
 	sentVersions  *peerv1.PartVersions
 	deliveries    deliveries
 	detailsSentAt time.Time
-	// awaitsTargets is set while the VM needs the whole list of targets and the link is busy
-	// with the lists of others. loadingSince is when the whole list was sent; zero once
-	// the VM has reported it.
+	// awaitsTargets is set while the VM needs the whole list of targets and the link is
+	// busy with the lists of others. wholeListSentAt is when the whole list was sent; zero
+	// once the VM has reported it.
 	awaitsTargets   bool
 	wholeListSentAt time.Time
 }
@@ -140,9 +140,10 @@
 	}
 }
 
-// reserveListTurn reports whether a whole list of targets, of a size in bytes, may be sent to a
-// VM now, and if so records that it is. When a whole fleet starts at once, heartbeats
-// must not queue behind the lists, so these occupy the link for loadTime at most.
+// reserveListTurn reports whether a whole list of targets, of a size in bytes, may be
+// sent to a VM now, and if so records that it is. When a whole fleet starts at once,
+// heartbeats must not queue behind the lists, so these occupy the link for listLinkTime
+// at most.
 func (c *Coordinator) reserveListTurn(m *member, size int, now time.Time) bool {
 	bytesInFlight := 0
 	for _, other := range c.lead.members {
@@ -157,8 +158,8 @@
 	return true
 }
 
-// targetsDelivered records that a VM has reported the list of targets, and sends the list to
-// another VM that waits for it.
+// targetsDelivered records that a VM has reported the list of targets, and sends the list
+// to another VM that waits for it.
 func (c *Coordinator) targetsDelivered(m *member, now time.Time) {
 	m.wholeListSentAt, m.detailsSentAt = time.Time{}, time.Time{}
 	for _, next := range c.lead.members {
@@ -220,7 +221,7 @@
 	c.publish(&view)
 }
 
-// dropSilentMembers removes members that have not reported for memberGone.
+// dropSilentMembers removes members that have not reported for memberTimeout.
 func (c *Coordinator) dropSilentMembers(now time.Time) {
 	dropped := false
 	for name, m := range c.lead.members {
--- a/internal/process/coordinator/record.go
+++ b/internal/process/coordinator/record.go
@@ -24,8 +24,8 @@
 	l.tickedAt = now
 }
 
-// noteLaterLeader records that a target has seen the fence of a later leader. VMs that follow
-// this leader may not know the later one, so only the store can confirm the
+// noteLaterLeader records that a target has seen the fence of a later leader. VMs that
+// follow this leader may not know the later one, so only the store can confirm the
 // leadership from then on.
 func (l *leadership) noteLaterLeader(now time.Duration) {
 	l.laterLeaderSeenAt = now
@@ -33,7 +33,7 @@
 }
 
 // mayAct reports whether the leadership is confirmed: the store or a majority of the
-// VMs has confirmed it within authority, and since the last stall.
+// VMs has confirmed it within leaderLease, and since the last stall.
 func (c *Coordinator) mayAct() bool {
 	l := c.lead
 	now := c.config.Uptime()
@@ -46,8 +46,8 @@
 	return now-l.storeConfirmedAt < leaderLease && l.storeConfirmedAt >= l.stalledAt || c.hasMajority()
 }
 
-// hasMajority reports whether a hasMajority of the VMs has followed this leader within
-// authority. A VM follows one leader at a time and never goes back to a lower term.
+// hasMajority reports whether a majority of the VMs has followed this leader within
+// leaderLease. A VM follows one leader at a time and never goes back to a lower term.
 func (c *Coordinator) hasMajority() bool {
 	l := c.lead
 	now := c.config.Uptime()
@@ -60,8 +60,8 @@
 	return l.otherVoters() > 0 && 2*followers > l.otherVoters()+1
 }
 
-// leadershipConfirmedAt returns the latest uptime at which this VM is known to have led: the
-// store named no other leader then, or a majority of the VMs followed this one.
+// leadershipConfirmedAt returns the latest uptime at which this VM is known to have led:
+// the store named no other leader then, or a majority of the VMs followed this one.
 func (c *Coordinator) leadershipConfirmedAt() time.Duration {
 	l := c.lead
 	var followed []time.Duration
@@ -82,8 +82,8 @@
 // the store last confirmed this leader still count, as they may follow another.
 func (l *leadership) otherVoters() int { return max(len(l.members), l.membersAtConfirmation) }
 
-// detectSoleLeader records that former leaders can act for no longer than authority from now
-// on, once a majority of the VMs follows this leader or there are no others.
+// detectSoleLeader records that former leaders can act for no longer than leaderLease
+// from now on, once a majority of the VMs follows this leader or there are no others.
 func (c *Coordinator) detectSoleLeader(now time.Time) {
 	l := c.lead
 	if l.soleLeader || !c.hasMajority() && l.otherVoters() > 0 {
@@ -105,7 +105,8 @@
 	c.pushAll()
 }
 
-// renewRecord writes the record, when it is due, with no change but the number of the write.
+// renewRecord writes the record, when it is due, with no change but the number of the
+// write.
 func (c *Coordinator) renewRecord(now time.Time) {
 	l := c.lead
 	if l.writing || now.Before(l.renewRecordAt) {
@@ -118,8 +119,8 @@
 	})
 }
 
-// updateRecord writes the leader's record. It calls done on the loop with the result, unless
-// the leadership has ended.
+// updateRecord writes the leader's record. It calls done on the loop with the result,
+// unless the leadership has ended.
 func (c *Coordinator) updateRecord(record fleet.Record, done func(error)) {
 	l := c.lead
 	l.writing = true
--- a/internal/process/coordinator/wire.go
+++ b/internal/process/coordinator/wire.go
@@ -76,8 +76,8 @@
 	return list
 }
 
-// addServiceDiff adds the diff of a service's slices, which are sorted by key, to the list
-// unless it is empty.
+// addServiceDiff adds the diff of a service's slices, which are sorted by key, to the
+// list unless it is empty.
 func addServiceDiff(list *peerv1.SliceList, service string, former, present []fleet.Slice) {
 	difference := &peerv1.ServiceSlices{Service: service}
 	for i := range present {
--- a/internal/process/coordinator/world_test.go
+++ b/internal/process/coordinator/world_test.go
@@ -46,11 +46,11 @@
 	cut map[string]bool
 	// refused holds pairs "from>to" whose connections are refused although both run.
 	refused map[string]bool
-	// delaysMessages delays messages between VMs over a cut path until it heals, instead of
-	// dropping them.
+	// delaysMessages delays messages between VMs over a cut path until it heals, instead
+	// of dropping them.
 	delaysMessages bool
-	// connectDelays is how long it takes to open a connection for a new grant, by address or
-	// "from>to"; opening counts the connections that are being opened, by address.
+	// connectDelays is how long it takes to open a connection for a new grant, by address
+	// or "from>to"; connecting counts the connections that are being opened, by address.
 	connectDelays map[string]time.Duration
 	connecting    map[string]int
 	// outage makes the store unavailable to all VMs.
@@ -103,12 +103,13 @@
 	coordinator *coordinator.Coordinator
 	view        *fleet.View
 	mu          sync.Mutex
-	// acceptedBy are the processes that accepted a fence from this node; guarded by world.mu.
+	// acceptedBy are the processes that accepted a fence from this node; guarded by
+	// world.mu.
 	acceptedBy map[uint64]*fakeTarget
 	// linkFreeAt is when the messages sent so far have left the node's link; guarded by
 	// world.mu.
 	linkFreeAt time.Time
-	// retryCounts are the retry-budget counters of the node's broker; repeatedAt is the
+	// retryCounts are the retry-budget counters of the node's broker; retryCountsAt is the
 	// time of the heartbeat from which they were adopted.
 	retryCounts   map[string]admission.RepeatCount
 	retryCountsAt time.Time
@@ -331,8 +332,8 @@
 }
 
 const (
-	// heldPollInterval is the interval at which messages that are held back check the path;
-	// after heldLongest they are lost.
+	// heldPollInterval is the interval at which messages that are held back check the
+	// path; after heldMax they are lost.
 	heldPollInterval = 20 * time.Millisecond
 	heldMax          = 12 * time.Second
 )
