--- a/internal/process/coordinator/fences.go
+++ b/internal/process/coordinator/fences.go
@@ -70,7 +70,7 @@
 // this leader has assigned no higher one to these keys.
 func (lt *leaseTable) provesNewerLeader(t task) bool {
 	s := lt.findSlice(t.order)
-	return s != nil && s.Last == t.slice.Last && s.Owner == t.target && len(s.From) == 0
+	return s != nil && s.Last == t.slice.Last && s.Owner == t.target && len(s.FormerOwners) == 0
 }
 
 // handleConflict assigns a new fence to a slice after a grant that needs a higher one, and
--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -212,7 +212,7 @@
 // copyProgress copies the current state of a slice to its written form, or to a part
 // of the slice.
 func (lt *leaseTable) copyProgress(s, current *fleet.Slice) {
-	s.Fence, s.From, s.Ready = current.Fence, current.From, current.Ready
+	s.Fence, s.FormerOwners, s.Ready = current.Fence, current.FormerOwners, current.Ready
 	if at, confirmed := lt.confirmedAt[idOf(current)]; confirmed {
 		lt.confirmedAt[idOf(s)] = at
 		lt.readySince[idOf(s)] = lt.readySince[idOf(current)]
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -240,7 +240,7 @@
 	restarted := map[fleet.Life]fleet.Life{}
 	for _, list := range leases.slices {
 		for _, s := range list {
-			for _, life := range append([]fleet.Life{s.Owner}, s.From...) {
+			for _, life := range append([]fleet.Life{s.Owner}, s.FormerOwners...) {
 				if t := targets[life.ID]; t != nil && t.Born > life.Born {
 					restarted[life] = t.Life
 				}
--- a/internal/process/coordinator/leasetable.go
+++ b/internal/process/coordinator/leasetable.go
@@ -174,7 +174,7 @@
 	for service, list := range lt.slices {
 		for i := range list {
 			s := fleet.Find(published[service], list[i].First)
-			list[i].Ready = s != nil && s.Owner == list[i].Owner && s.Ready && len(list[i].From) == 0
+			list[i].Ready = s != nil && s.Owner == list[i].Owner && s.Ready && len(list[i].FormerOwners) == 0
 			if list[i].Ready {
 				lt.confirmedAt[idOf(&list[i])] = now.Add(-renewInterval)
 			}
@@ -230,12 +230,12 @@
 	lt.extendLease(next, lt.mayHoldUntil[former])
 	for _, list := range lt.slices {
 		for i := range list {
-			if !slices.Contains(list[i].From, former) {
+			if !slices.Contains(list[i].FormerOwners, former) {
 				continue
 			}
 			removeFormerOwner(&list[i], former)
-			if !slices.Contains(list[i].From, next) && list[i].Owner != next {
-				list[i].From = append(list[i].From, next)
+			if !slices.Contains(list[i].FormerOwners, next) && list[i].Owner != next {
+				list[i].FormerOwners = append(list[i].FormerOwners, next)
 			}
 		}
 	}
@@ -243,11 +243,11 @@
 
 // removeFormerOwner removes a former owner from a slice and reports whether it was one.
 func removeFormerOwner(s *fleet.Slice, life fleet.Life) bool {
-	at := slices.Index(s.From, life)
+	at := slices.Index(s.FormerOwners, life)
 	if at < 0 {
 		return false
 	}
-	s.From = slices.Delete(append([]fleet.Life(nil), s.From...), at, at+1)
+	s.FormerOwners = slices.Delete(append([]fleet.Life(nil), s.FormerOwners...), at, at+1)
 	return true
 }
 
@@ -287,7 +287,7 @@
 	var freed []fleet.Slice
 	for service, list := range lt.slices {
 		for i := range list {
-			for _, life := range slices.Clone(list[i].From) {
+			for _, life := range slices.Clone(list[i].FormerOwners) {
 				if !lt.mayHold(life, now) {
 					removeFormerOwner(&list[i], life)
 					freed = append(freed, list[i])
@@ -305,8 +305,8 @@
 	var tasks []task
 	for service, list := range lt.slices {
 		for _, s := range list {
-			if len(s.From) > 0 {
-				for _, life := range s.From {
+			if len(s.FormerOwners) > 0 {
+				for _, life := range s.FormerOwners {
 					tasks = lt.appendIfDue(tasks, task{order: order{service, s.Fence, s.First, life, true}, slice: s}, now, confirmedUptime)
 				}
 				continue
@@ -407,7 +407,7 @@
 	}
 	delete(lt.retryAt, t.order)
 	s := lt.findSlice(t.order)
-	if s == nil || s.Owner != t.target || len(s.From) > 0 {
+	if s == nil || s.Owner != t.target || len(s.FormerOwners) > 0 {
 		return false
 	}
 	lt.confirmedAt[idOf(s)] = now
@@ -447,5 +447,5 @@
 	if handover != "" {
 		lt.handovers[s.Fence] = handover
 	}
-	return len(s.From) == 0
+	return len(s.FormerOwners) == 0
 }
--- a/internal/version/fleet/view.go
+++ b/internal/version/fleet/view.go
@@ -44,9 +44,9 @@
 	// changes its owner or the owner changes its process. Only the leader knows the
 	// current one.
 	Fence uint64 `json:"fence"`
-	// From are the former owners that may still hold keys of the slice. The slice is
+	// FormerOwners are the former owners that may still hold keys of the slice. The slice is
 	// granted to its owner only once there are none.
-	From []Life `json:"from,omitempty"`
+	FormerOwners []Life `json:"from,omitempty"`
 	// Ready is set while the owner confirms its grants. It is not stored in the record.
 	Ready bool `json:"-"`
 }
--- a/internal/version/keyspace/apply.go
+++ b/internal/version/keyspace/apply.go
@@ -37,7 +37,7 @@
 // former owner has to release the slice first.
 func assign(s *fleet.Slice, to fleet.Life, fence uint64) {
 	if s.Owner != to {
-		s.From = withLife(s.From, s.Owner)
+		s.FormerOwners = withLife(s.FormerOwners, s.Owner)
 	}
 	s.Owner, s.Fence, s.Ready = to, fence, false
 }
@@ -92,7 +92,7 @@
 	if first < 0 || last < first {
 		return current
 	}
-	unjoinable := func(s fleet.Slice) bool { return s.Owner != m.To || len(s.From) > 0 || !s.Ready }
+	unjoinable := func(s fleet.Slice) bool { return s.Owner != m.To || len(s.FormerOwners) > 0 || !s.Ready }
 	if slices.ContainsFunc(current[first:last+1], unjoinable) {
 		return current
 	}
--- a/internal/version/keyspace/plan.go
+++ b/internal/version/keyspace/plan.go
@@ -131,7 +131,7 @@
 		// Demand for a single key beyond the highest capacity cannot be served by
 		// any owner, so it does not count towards the mean.
 		demand += d - load.excessDemand(maxCapacity, s.First, s.Last)
-		p.pieces = append(p.pieces, piece{first: s.First, last: s.Last, owner: s.Owner, demand: d, fixed: len(s.From) > 0 || !s.Ready})
+		p.pieces = append(p.pieces, piece{first: s.First, last: s.Last, owner: s.Owner, demand: d, fixed: len(s.FormerOwners) > 0 || !s.Ready})
 		if o := p.owners[s.Owner]; o != nil {
 			o.demand += d
 			o.pieceCount++
--- a/internal/version/keyspace/plan_test.go
+++ b/internal/version/keyspace/plan_test.go
@@ -34,7 +34,7 @@
 // settle completes all moves.
 func (w *cluster) settle() {
 	for i := range w.slices {
-		w.slices[i].From, w.slices[i].Ready = nil, true
+		w.slices[i].FormerOwners, w.slices[i].Ready = nil, true
 	}
 }
 
@@ -264,7 +264,7 @@
 	assert.DeepEqual(t, joined[0], fleet.Slice{First: 0, Last: 99, Owner: a, Fence: 9, Ready: true})
 	for _, second := range []fleet.Slice{
 		{Owner: b, Fence: 4, Ready: true},
-		{Owner: a, Fence: 4, From: []fleet.Life{b}},
+		{Owner: a, Fence: 4, FormerOwners: []fleet.Life{b}},
 		{Owner: a, Fence: 4},
 	} {
 		current := two(second)
@@ -313,8 +313,8 @@
 	w.apply([]keyspace.Move{{First: 0, Last: 99, To: b}})
 	w.apply([]keyspace.Move{{First: 0, Last: 49, To: c}})
 	w.checkOwners(t)
-	assert.DeepEqual(t, w.slices[0].From, []fleet.Life{a, b})
-	assert.DeepEqual(t, w.slices[1].From, []fleet.Life{a})
+	assert.DeepEqual(t, w.slices[0].FormerOwners, []fleet.Life{a, b})
+	assert.DeepEqual(t, w.slices[1].FormerOwners, []fleet.Life{a})
 	assert.Equal(t, w.slices[2].Fence, uint64(1))
 	assert.Assert(t, w.slices[0].Fence > w.slices[1].Fence && !w.slices[0].Ready)
 }
@@ -358,17 +358,17 @@
 	owner, former := fleet.Life{ID: "a", Born: 1}, fleet.Life{ID: "b", Born: 1}
 	list := []fleet.Slice{
 		{First: 0, Last: 9, Owner: owner, Fence: 3, Ready: true},
-		{First: 10, Last: fleet.Keys - 1, Owner: owner, Fence: 4, From: []fleet.Life{former}},
+		{First: 10, Last: fleet.Keys - 1, Owner: owner, Fence: 4, FormerOwners: []fleet.Life{former}},
 	}
 	fence := uint64(4)
 	again := keyspace.Apply(list, []keyspace.Move{{First: 0, Last: 9, To: owner}, {First: 10, Last: fleet.Keys - 1, To: owner}},
 		func() uint64 { fence++; return fence })
 	assert.DeepEqual(t, again, []fleet.Slice{
 		{First: 0, Last: 9, Owner: owner, Fence: 5},
-		{First: 10, Last: fleet.Keys - 1, Owner: owner, Fence: 6, From: []fleet.Life{former}},
+		{First: 10, Last: fleet.Keys - 1, Owner: owner, Fence: 6, FormerOwners: []fleet.Life{former}},
 	})
 	taken := keyspace.Apply(again, []keyspace.Move{{First: 0, Last: 9, To: former}}, func() uint64 { fence++; return fence })
-	assert.DeepEqual(t, taken[0].From, []fleet.Life{owner})
+	assert.DeepEqual(t, taken[0].FormerOwners, []fleet.Life{owner})
 }
 
 // TestGivingEverythingAnewIsQuick checks that the time for assigning all slices at new
