--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -169,9 +169,9 @@
 // Leads reports whether this VM is the leader.
 func (c *Coordinator) Leads() bool { return c.lead != nil }
 
-// HearsLeader reports whether a heartbeat of the leader has arrived within the
+// ReceivesHeartbeats reports whether a heartbeat of the leader has arrived within the
 // heartbeat timeout. It may be called from any goroutine.
-func (c *Coordinator) HearsLeader() bool {
+func (c *Coordinator) ReceivesHeartbeats() bool {
 	at := c.sharedHeartbeatAt.Load()
 	return at != nil && time.Since(*at) < heartbeatTimeout
 }
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -193,7 +193,7 @@
 }
 
 // hears reports whether a broker is alive; all brokers are at the leader.
-func (g *Gateway) hears(string) bool { return g.coordinator.HearsLeader() }
+func (g *Gateway) hears(string) bool { return g.coordinator.ReceivesHeartbeats() }
 
 func (g *Gateway) publish(view *fleet.View) {
 	former := g.view.Swap(view)
