--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -91,9 +91,11 @@
 
 	// The following fields are a follower's state.
 
+	// startedAt is when the coordinator started.
 	startedAt time.Time
-	// heartbeatAt is when the last heartbeat of the leader arrived. A new leader gets
-	// a value in the recent past, so that it has time to send its first one.
+	// heartbeatAt is when the last heartbeat of the leader arrived. A VM that finds a
+	// new leader in the record sets it to the recent past, so that this leader has time
+	// to send its first heartbeat.
 	heartbeatAt time.Time
 	// sharedHeartbeatAt is the arrival of the last heartbeat for readers outside the loop;
 	// nil before the first one.
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -131,8 +131,8 @@
 }
 
 // newLeadership returns the state of a leader that has just been written into the
-// record; given are the fences that this write reserved. formerEnded is set if no
-// former leader can act any more.
+// record. reserved are the fences that this write reserved; hold is the duration of a
+// grant. formerEnded is set if no former leader can act any more.
 func newLeadership(record fleet.Record, revision int64, reserved fenceRange, formerEnded bool, view *fleet.View, hold time.Duration, now time.Time) *leadership {
 	l := &leadership{
 		record: record, revision: revision, writes: record.Write, leaseTable: newLeaseTable(record.Slices, reserved, hold),
@@ -234,7 +234,8 @@
 	c.schedulePush(pushPause)
 }
 
-// noteRestarts notes owners and former owners of slices that have restarted.
+// noteRestarts records in the lease table which owners and former owners of slices have
+// restarted.
 func (c *Coordinator) noteRestarts(targets map[string]*fleet.Target, now time.Time) {
 	leases := c.lead.leaseTable
 	restarted := map[fleet.Life]fleet.Life{}
--- a/internal/process/coordinator/member.go
+++ b/internal/process/coordinator/member.go
@@ -72,6 +72,7 @@
 	}}})
 }
 
+// reportInterval returns the interval of reports for the present number of VMs.
 func (c *Coordinator) reportInterval() time.Duration {
 	if len(c.view.Members) > largeFleet {
 		return 2 * reportEvery
@@ -309,7 +310,7 @@
 		c.follow(record, now)
 	default:
 		e.recordUnchangedFor = c.recordUnchangedFor(revision, now)
-		// A heartbeat during the check may have withdrawn it.
+		// A heartbeat during the check may have withdrawn the request.
 		e.yielding = e.yielding && c.leaderYielding
 		e.storeReturned = c.leaderLacksStore && now.Sub(c.storeFailedAt) < storeReturnGrace
 		may, reason := mayTakeOver(e)
--- a/internal/process/coordinator/world_test.go
+++ b/internal/process/coordinator/world_test.go
@@ -71,8 +71,8 @@
 	// wholeLists counts the lists of targets, slices and members that were sent whole
 	// instead of as a diff.
 	wholeLists int
-	// calls is the last number given to a call, message or incarnation; waiting are
-	// the calls without a reply, by number.
+	// calls is the last number given to a call, message or incarnation; pendingCalls
+	// are the calls without a reply, by number.
 	calls        uint64
 	pendingCalls map[uint64]chan *peerv1.Control
 	// problems are the failures found so far.
--- a/internal/version/fleet/view.go
+++ b/internal/version/fleet/view.go
@@ -44,8 +44,8 @@
 	// changes its owner or the owner changes its process. Only the leader knows the
 	// current one.
 	Fence uint64 `json:"fence"`
-	// FormerOwners are the former owners that may still hold keys of the slice. The slice is
-	// granted to its owner only once there are none.
+	// FormerOwners may still hold keys of the slice. It is granted to its owner only
+	// once there are none.
 	FormerOwners []Life `json:"from,omitempty"`
 	// Ready is set while the owner confirms its grants. It is not stored in the record.
 	Ready bool `json:"-"`
