--- a/internal/process/coordinator/coordinator_test.go
+++ b/internal/process/coordinator/coordinator_test.go
@@ -448,8 +448,8 @@
 	return slices.ContainsFunc(w.history, func(line string) bool { return strings.Contains(line, text) })
 }
 
-// startAndRegister starts a target at the address of target place, and registers it after
-// it has run for a while.
+// startAndRegister starts a target at the address of target former, and registers it after
+// it has run for a while. A former target of another name loses its registration later.
 func (w *world) startAndRegister(former, id string) {
 	next := w.startTargetAt(former, id)
 	time.AfterFunc(1500*time.Millisecond, func() { w.put("servers/"+id, next.Target) })
--- a/internal/version/fleet/config.go
+++ b/internal/version/fleet/config.go
@@ -36,7 +36,8 @@
 	services map[string]*Service
 }
 
-// Limits bound the size of requests and how long a caller may take to send them.
+// Limits bound the size of requests, the time in which a caller has to send the headers,
+// and the time for which a connection may be idle. Sizes are in bytes.
 type Limits struct {
 	HeaderBytes   int           `json:"headerBytes"`
 	BodyBytes     int64         `json:"bodyBytes"`
