--- a/internal/connection/peer/conn.go
+++ b/internal/connection/peer/conn.go
@@ -9,21 +9,24 @@
 // yamuxHeaderSize is the size of a yamux frame header in bytes.
 const yamuxHeaderSize = 12
 
-// started anchors the monotonic clock of the package.
+// started is the origin of the times that now returns.
 var started = time.Now()
 
-// now returns the time since the start of the process.
+// now returns the time since the start of the process, on the monotonic clock.
 func now() time.Duration { return time.Since(started) }
 
-// countedConn counts bytes, remembers when the peer was last heard, and joins a
-// yamux frame header with the body that follows it into one write.
+// countedConn is a connection that counts its bytes, records when the peer last
+// sent any, and merges a yamux frame header and the body that follows it into
+// one write.
 type countedConn struct {
 	net.Conn
 	sent     *atomic.Int64
 	received *atomic.Int64
-	heardAt  atomic.Int64
-	// joined holds a header that waits for its body. Only the session's
-	// sending goroutine writes, so it needs no lock.
+	// heardAt is the time of the last read that returned data, in nanoseconds
+	// (see now).
+	heardAt atomic.Int64
+	// joined holds a frame header until its body is written. Only the yamux
+	// session's send goroutine writes, so it needs no lock.
 	joined []byte
 }
 
@@ -33,7 +36,7 @@
 	return c
 }
 
-// heard returns when the last byte arrived.
+// heard returns when the peer last sent any bytes.
 func (c *countedConn) heard() time.Duration { return time.Duration(c.heardAt.Load()) }
 
 // Read reads from the connection.
@@ -46,8 +49,8 @@
 	return n, err
 }
 
-// Write writes to the connection. A header of a data frame is held back until
-// its body arrives with the next call, which yamux makes at once.
+// Write writes to the connection. The header of a data frame is held back until
+// the next call brings its body; yamux makes that call immediately.
 func (c *countedConn) Write(p []byte) (int, error) {
 	if len(c.joined) == 0 && announcesBody(p) {
 		c.joined = append(c.joined[:0], p...)
@@ -74,8 +77,8 @@
 	return n, err
 }
 
-// announcesBody reports whether p is the header of a yamux data frame with a
-// length above 0: byte 0 is the version, byte 1 the type (0 for data), bytes 8
+// announcesBody reports whether p is the header of a yamux data frame whose body
+// is not empty: byte 0 is the version, byte 1 the type (0 for data), bytes 8
 // to 11 the length.
 func announcesBody(p []byte) bool {
 	return len(p) == yamuxHeaderSize && p[0] == 0 && p[1] == 0 && p[8]|p[9]|p[10]|p[11] != 0
--- a/internal/connection/peer/hello.go
+++ b/internal/connection/peer/hello.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// helloTimeout bounds the exchange that opens a session.
+	// helloTimeout bounds the handshake that opens a session.
 	helloTimeout = 3 * time.Second
-	// maxHello bounds a Hello in bytes.
+	// maxHello is the maximum size of a Hello in bytes.
 	maxHello = 4 << 10
 )
 
-// exchangeHello introduces the own VM on a fresh connection and returns the
-// peer. Both sides send first and read second, so that each learns why the
-// other refuses; nothing beyond the peer's Hello is read from the connection.
+// exchangeHello performs the handshake on a new connection: it sends the Hello
+// of this VM and returns the peer described by the Hello it receives. Both sides
+// send before they read, so that a mismatch is reported on both sides. Nothing
+// beyond the peer's Hello is read from the connection.
 func exchangeHello(conn net.Conn, self Peer, deployment string) (Peer, error) {
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return Peer{}, err
@@ -45,7 +46,7 @@
 	return Peer{VM: hello.Vm, Incarnation: hello.Incarnation}, conn.SetDeadline(time.Time{})
 }
 
-// readHello reads byte by byte up to the end of the message.
+// readHello reads one Hello, and no byte beyond it.
 func readHello(in io.Reader) (*peerv1.Hello, error) {
 	size, err := binary.ReadUvarint(bufio.NewReaderSize(&oneByteReader{in}, 16))
 	if err != nil {
@@ -53,7 +54,7 @@
 	}
 	if size > maxHello {
 		return nil, fault.New(fault.Invalid, "check that the address belongs to a daemon's peer listener",
-			"peer announced a greeting of %d bytes, above the limit of %d bytes", size, maxHello)
+			"peer announced a handshake message of %d bytes, above the limit of %d bytes", size, maxHello)
 	}
 	frame := make([]byte, size)
 	if _, err := io.ReadFull(in, frame); err != nil {
@@ -61,12 +62,13 @@
 	}
 	hello := &peerv1.Hello{}
 	if err := proto.Unmarshal(frame, hello); err != nil {
-		return nil, fault.Wrap(err, fault.Invalid, "check that the address belongs to a daemon's peer listener", "peer sent a malformed greeting")
+		return nil, fault.Wrap(err, fault.Invalid, "check that the address belongs to a daemon's peer listener", "peer sent a malformed handshake message")
 	}
 	return hello, nil
 }
 
-// oneByteReader keeps a buffered reader from reading ahead.
+// oneByteReader returns one byte per Read, so that a buffered reader on top of
+// it does not read ahead.
 type oneByteReader struct{ in io.Reader }
 
 func (r *oneByteReader) Read(p []byte) (int, error) {
@@ -76,6 +78,8 @@
 	return r.in.Read(p)
 }
 
+// checkHello checks that the peer speaks the same protocol version, belongs to
+// the same deployment, and names its VM and incarnation.
 func checkHello(hello *peerv1.Hello, deployment string) error {
 	if hello.Protocol != ProtocolVersion {
 		return fault.New(fault.Refused, "run daemons of one protocol version",
--- a/internal/connection/peer/leave.go
+++ b/internal/connection/peer/leave.go
@@ -7,29 +7,35 @@
 )
 
 const (
-	// monitorInterval is the interval at which sessions are looked at.
+	// monitorInterval is the interval at which sessions are checked.
 	monitorInterval = 50 * time.Millisecond
-	// probeAfter is the silence of a peer, with something waiting for it, after
-	// which it is probed.
+	// probeAfter is how long a peer may send nothing, while something waits for it,
+	// before it is probed.
 	probeAfter = 150 * time.Millisecond
 	// suspectAfter is how long a probe may stay unanswered, beyond twice the round
-	// trip time of the session, before new requests are refused as not sent.
-	// Requests under way go on, so a wrong suspicion costs little.
+	// trip time of the session, before the peer is suspect and new requests are
+	// refused as not sent. Requests in flight continue, so a wrong suspicion costs
+	// little.
 	suspectAfter = 100 * time.Millisecond
 	// failAfter is how long a probe may stay unanswered before the session is
-	// closed and its requests end as unknown.
+	// closed and its requests end with an unknown outcome.
 	failAfter = 3 * time.Second
-	// leaveTimeout closes a session whose peer does not acknowledge a Leave and
-	// has nothing under way on it.
+	// leaveTimeout is the time beyond the idle timeout after which an unused
+	// session that is leaving is closed even if the peer has not acknowledged the
+	// Leave.
 	leaveTimeout = 10 * time.Second
 )
 
-// check probes a silent peer and closes a session that is silent or idle.
+// check probes the peer if needed, and closes a session whose peer does not
+// answer or that is idle. The monitor calls it at every interval.
 func (s *session) check(at time.Duration) {
 	s.checkSilence(at)
 	s.checkIdle(at)
 }
 
+// checkSilence probes a peer that has sent nothing for probeAfter while something
+// waits for it, and closes the session if the probe is not answered within
+// failAfter. Any byte from the peer counts as an answer.
 func (s *session) checkSilence(at time.Duration) {
 	probed := time.Duration(s.probeAt.Load())
 	heard := s.conn.heard()
@@ -44,8 +50,8 @@
 	}
 }
 
-// probe asks the peer for a sign of life and measures the round trip. The
-// shortest counts: a longer one tells of a pause, not of the way.
+// probe pings the peer and measures the round trip time. It keeps the shortest: a
+// longer one is due to a pause of either process, not to the network.
 func (s *session) probe() {
 	roundTrip, err := s.mux.Ping()
 	if err != nil {
@@ -64,7 +70,8 @@
 	return probed != 0 && s.conn.heard() < probed && at-probed > allowed
 }
 
-// waitsForPeer reports whether anybody waits for bytes of the peer.
+// waitsForPeer reports whether a request, a body or a control call waits for the
+// peer.
 func (s *session) waitsForPeer() bool {
 	s.mu.Lock()
 	waits := len(s.pending) > 0 || s.bodies > 0
@@ -72,8 +79,10 @@
 	return waits || s.transport.calls.waitingFor(s.peer.VM)
 }
 
-// checkIdle announces the end of a session that nobody has used for a while.
-// The dialing side does so, and the other only when that has not happened.
+// checkIdle leaves a session that has been unused for the idle timeout. It closes
+// a leaving session on which nothing is in flight once the peer has acknowledged
+// the Leave, or leaveTimeout has passed. The accepting side waits half as long
+// again, so that normally the dialing side acts.
 func (s *session) checkIdle(at time.Duration) {
 	idle := at - time.Duration(s.usedAt.Load())
 	limit := s.transport.config.IdleTimeout
@@ -93,12 +102,13 @@
 	}
 }
 
-// quietLocked reports whether nothing is under way in either direction.
+// quietLocked reports whether nothing is in flight in either direction.
 func (s *session) quietLocked() bool {
 	return len(s.pending) == 0 && len(s.serving) == 0 && s.bodies == 0
 }
 
-// leave announces that this side opens no more requests on the session.
+// leave starts the graceful close of the session: it tells the peer by a Leave
+// that this side sends no new requests on it.
 func (s *session) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +119,8 @@
 	_, _ = s.requests.add(leaveFrame(false))
 }
 
-// receiveLeave handles the peer's announcement, or its acknowledgement of ours.
+// receiveLeave handles a Leave of the peer; accepted means that it acknowledges
+// the Leave of this side.
 func (s *session) receiveLeave(accepted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,8 +135,8 @@
 	s.acknowledgeLeaveLocked()
 }
 
-// acknowledgeLeaveLocked answers the peer's Leave once no request of this side
-// is under way, so that the peer may close the session.
+// acknowledgeLeaveLocked acknowledges the peer's Leave once this side has no
+// request or body in flight, so that the peer may close the session.
 func (s *session) acknowledgeLeaveLocked() {
 	if !s.ackLeave || len(s.pending) > 0 || s.bodies > 0 {
 		return
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a session. A frozen daemon's kernel still
-	// accepts connections, so it covers the greeting too; it has to leave time to
-	// try another VM within a second.
+	// dialTimeout bounds the opening of a session, including the handshake: for a
+	// frozen daemon the kernel still accepts connections. It leaves time to try
+	// another VM within a second.
 	dialTimeout = 500 * time.Millisecond
-	// redialMin and redialMax bound the delay after a failed dial.
+	// redialMin and redialMax bound the backoff after a failed dial.
 	redialMin = 50 * time.Millisecond
 	redialMax = 1 * time.Second
-	// linkIdle is the time after which an unused destination is forgotten. VMs
-	// are replaced all the time, and names are not used again.
+	// linkIdle is the time after which the link of an unused destination is
+	// removed. VMs are replaced continually and their names are not reused, so
+	// links would accumulate.
 	linkIdle = 10 * time.Minute
 	// shortLife is the age below which the loss of a session counts as a failed
-	// dial, so that a peer that closes every session is not dialed in a loop.
+	// dial, so that a peer that closes every session is dialed with backoff.
 	shortLife = 1 * time.Second
-	// sessionsPerRequest bounds how often one request goes on to another session
-	// because the one that it was given is closing.
+	// sessionsPerRequest bounds the sessions that one request tries when the
+	// session that was selected for it starts to close.
 	sessionsPerRequest = 4
 )
 
@@ -37,23 +38,26 @@
 	errNoAddress  = fault.New(fault.Unavailable, "wait until the VM has announced itself", "no address is known")
 	errClosed     = fault.New(fault.Unavailable, "send to another VM", "the daemon is stopping")
 	errSilentPeer = fault.New(fault.Unavailable, "try its backup", "the peer does not answer at the moment")
-	errSelf       = fault.New(fault.Refused, "remove the own address from the seed peers", "the address is the own one")
+	errSelf       = fault.New(fault.Refused, "remove this VM's address from the seed peers", "the address belongs to this VM")
 )
 
-// link holds what is known of one destination: its sessions, and what waits
-// for one to open. The destination is a VM name, or an address until the name
-// of the VM there is known.
+// link is the state of one destination: its sessions, the dial in progress, and
+// the control messages that wait for a session.
 type link struct {
+	// key is a VM name, or an address (host:port) if the name of the VM there is
+	// not known yet.
 	key string
-	// self is set once the address has turned out to be the own one.
+	// self is set once the address has been found to be this VM's own.
 	self atomic.Bool
-	// current is the session that new messages go to; nil if there is none.
+	// current is the session that new messages are sent on; nil if there is none.
 	current atomic.Pointer[session]
 
 	mu       sync.Mutex
 	sessions []*session
-	// dialing is closed when the dial under way has ended; nil if there is none.
-	dialing  chan struct{}
+	// dialing is closed when the dial in progress has ended; nil if there is none.
+	dialing chan struct{}
+	// failures counts the dials that have failed in a row; lastErr is the error of
+	// the last one, and no dial starts before retryAt.
 	failures int
 	retryAt  time.Duration
 	lastErr  error
@@ -63,14 +67,15 @@
 	changedAt time.Duration
 }
 
-// idle reports whether nothing has come of the link for a while.
+// idle reports whether the link has no session, dial or queued message and has
+// not changed for longer than linkIdle.
 func (l *link) idle(at time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.sessions) == 0 && l.dialing == nil && len(l.queue) == 0 && at-l.changedAt > linkIdle
 }
 
-// usable returns the current session if new requests may go there.
+// usable returns the current session if new requests may be sent on it, or nil.
 func (l *link) usable() *session {
 	if s := l.current.Load(); s != nil && s.usable() {
 		return s
@@ -78,7 +83,8 @@
 	return nil
 }
 
-// adopt adds an open session and sends what has waited for it.
+// adopt adds an open session to the link, chooses the current session and sends
+// the queued control messages on it. self is the name of this VM.
 func (l *link) adopt(s *session, self string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,10 +98,10 @@
 	l.queue = nil
 }
 
-// selectLocked decides between the current session and a new one. Of two
-// sessions that both work, both sides keep the same one: the one that the VM
-// with the lower name has dialed, and the earlier of two dialed by the same
-// side. The other is closed by agreement.
+// selectLocked chooses between the current session and a new one. If both are
+// usable and lead to the same peer, both sides keep the same session: the one
+// dialed by the VM whose name sorts first, or the earlier one if the same side
+// dialed both. The other is closed gracefully (see session.leave).
 func (l *link) selectLocked(s *session, self string) {
 	current := l.current.Load()
 	if current == nil || current == s || !current.usable() || current.peer != s.peer {
@@ -119,7 +125,9 @@
 	}
 }
 
-// remove takes a closed session out and goes over to another that is open.
+// remove removes a closed session and, if it was the current one, replaces it by
+// another usable one. The loss of a session younger than shortLife counts as a
+// failed dial unless it was closed as idle.
 func (l *link) remove(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +153,8 @@
 	}
 }
 
-// reselect replaces a current session that is closing by another open one.
+// reselect makes another usable session current and returns it, or nil if there
+// is none.
 func (l *link) reselect() *session {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,7 +167,7 @@
 	return nil
 }
 
-// silentLocked reports whether a session is open whose peer has fallen silent.
+// silentLocked reports whether the peer of an open session does not answer probes.
 func (l *link) silentLocked() bool {
 	for _, s := range l.sessions {
 		if s.currentState() == sessionOpen && s.suspect(now()) {
@@ -168,7 +177,7 @@
 	return false
 }
 
-// failLocked records a failed dial and sets the time of the next.
+// failLocked records a failed dial and starts the backoff until the next.
 func (l *link) failLocked(cause error) {
 	l.failures++
 	l.lastErr = cause
@@ -176,7 +185,8 @@
 	l.retryAt = l.changedAt + redialDelay(l.failures)
 }
 
-// sessionTo returns a session to a VM or address and opens one if there is none.
+// sessionTo returns a usable session to a VM or address, and dials if there is
+// none.
 func (t *Transport) sessionTo(ctx context.Context, key string) (*session, error) {
 	l := t.link(key)
 	if s := l.usable(); s != nil {
@@ -205,15 +215,16 @@
 	return nil, errSessionLeaving
 }
 
+// dialError returns why the last dial failed; nil after a successful one.
 func (l *link) dialError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastErr
 }
 
-// dial starts a dial unless one is under way, and returns a channel that is
-// closed when it has ended. A silent peer is not dialed again: its session
-// either recovers or is closed soon.
+// dial starts a dial unless one is in progress, and returns a channel that is
+// closed when the dial has ended. A peer with an open session that does not
+// answer probes is not dialed: the session either recovers or is closed soon.
 func (t *Transport) dial(l *link) (<-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,7 +235,7 @@
 		return nil, errSilentPeer
 	}
 	if now() < l.retryAt {
-		return nil, errors.Annotate(l.lastErr, "the last dial failed a moment ago and is tried again after a delay")
+		return nil, errors.Annotate(l.lastErr, "the last dial failed and the next one waits for its backoff")
 	}
 	if !t.startTask() {
 		return nil, errClosed
@@ -234,7 +245,8 @@
 	return l.dialing, nil
 }
 
-// runDial opens one session and records how it went.
+// runDial opens a session for the link and closes ended. If that fails, it drops
+// the link's queued control messages and fails the calls to its destination.
 func (t *Transport) runDial(l *link, ended chan struct{}) {
 	defer t.tasks.Done()
 	s, err := t.dialSession(l.key)
@@ -256,14 +268,15 @@
 	close(ended)
 }
 
-// redialDelay returns the delay after a number of failed dials in a row, with
-// jitter of half its length.
+// redialDelay returns the backoff after a number of failed dials in a row. It
+// grows exponentially from redialMin to redialMax; up to half of it is random.
 func redialDelay(failures int) time.Duration {
 	delay := min(redialMin<<min(failures-1, 10), redialMax)
 	return delay/2 + rand.N(delay/2)
 }
 
-// dialSession connects to a VM or address and checks who answers.
+// dialSession opens a session to a VM or address and checks the identity of the
+// peer.
 func (t *Transport) dialSession(key string) (*session, error) {
 	address := key
 	if !isAddress(key) {
@@ -296,20 +309,21 @@
 	return s, nil
 }
 
-// checkPeer makes sure that the VM that answered is the one that was meant.
+// checkPeer checks that the VM that answered is the one that was dialed.
 func (t *Transport) checkPeer(peer Peer, key, address string) error {
 	switch {
 	case peer == t.config.Self:
 		t.link(key).self.Store(true)
 		return errSelf
 	case peer.VM == t.config.Self.VM:
-		return fault.New(fault.Refused, "give each VM a name of its own", "the daemon at %s uses the own VM name %q", address, peer.VM)
+		return fault.New(fault.Refused, "give each VM a name of its own", "the daemon at %s uses this VM's name %q", address, peer.VM)
 	case !isAddress(key) && peer.VM != key:
 		return fault.New(fault.Refused, "correct the address that the VM announces", "address %s belongs to VM %q, not to %q", address, peer.VM, key)
 	}
 	return nil
 }
 
+// holds reports whether a session belongs to the link.
 func (l *link) holds(s *session) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connection/peer/metrics.go
+++ b/internal/connection/peer/metrics.go
@@ -6,10 +6,11 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metricsInterval is the interval at which the totals are reported.
+// metricsInterval is the interval at which the metrics are updated.
 const metricsInterval = time.Second
 
-// statsReporter reports the growth of the totals as counters.
+// statsReporter publishes Stats as metrics: the totals as counters, the open
+// sessions as a gauge.
 type statsReporter struct {
 	scope    tally.Scope
 	reported Stats
@@ -20,7 +21,8 @@
 	return &statsReporter{scope: scope.SubScope("peer")}
 }
 
-// report passes on what has grown since the last report.
+// report updates the metrics, unless the last update is less than metricsInterval
+// ago.
 func (r *statsReporter) report(stats Stats, at time.Duration) {
 	if at-r.at < metricsInterval {
 		return
--- a/internal/connection/peer/peer.go
+++ b/internal/connection/peer/peer.go
@@ -1,10 +1,9 @@
 // Package peer carries messages between the daemons of a deployment: one yamux
 // session per pair of VMs, opened on use and closed when idle.
 //
-// Small requests and their responses share one long-lived stream, control
-// messages another that traffic cannot delay; a body that is large or of
-// unknown length has a stream of its own. See docs/design for the measurement
-// behind this.
+// Small requests and their responses share one long-lived stream. Control
+// messages have another, so that requests do not delay them. A body that is large
+// or of unknown length has a stream of its own. docs/design gives the reasons.
 package peer
 
 import (
@@ -14,7 +13,8 @@
 	"github.com/chestnutcourse/chestnutcourse/api/peerv1"
 )
 
-// ProtocolVersion is checked by both sides when a session opens.
+// ProtocolVersion is the version of the peer protocol. Both sides refuse a session
+// with a peer of another version.
 const ProtocolVersion = 1
 
 // Peer identifies the VM at the other end of a session, in one incarnation.
@@ -23,19 +23,20 @@
 	Incarnation string
 }
 
-// ControlSender sends control messages to other VMs. Messages to the own VM
-// are delivered locally.
+// ControlSender sends control messages to VMs. Messages to this VM itself are
+// delivered without a session.
 type ControlSender interface {
 	// Send queues a message and returns at once. The message is lost if the
-	// peer cannot be reached; the sender repeats what must arrive.
+	// peer cannot be reached; the caller must repeat messages that have to arrive.
 	Send(vm string, message *peerv1.Control)
-	// Call sends a message and waits for its reply or the end of the context.
+	// Call sends a message and waits for its reply or the end of the context. An
+	// error is always a *SendError.
 	Call(ctx context.Context, vm string, message *peerv1.Control) (*peerv1.Control, error)
 }
 
-// ControlHandler receives control messages. A non-nil result is sent back as
-// the reply. It must not block; a handler that needs time returns nil and
-// sends the reply (with ReplyTo set to the message's Call) later.
+// ControlHandler handles control messages. A non-nil result is sent back as the
+// reply. It must not block; a handler that cannot reply at once returns nil and
+// sends the reply later, with ReplyTo set to the Call of the message.
 type ControlHandler func(from Peer, message *peerv1.Control) *peerv1.Control
 
 // RequestSender sends requests to dispatchers on other VMs.
@@ -47,11 +48,11 @@
 	Do(ctx context.Context, vm string, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser, error)
 }
 
-// SendError tells why a request got no response.
+// SendError is the error of a request or control call that got no response.
 type SendError struct {
 	VM string
-	// Sent reports whether the request may have reached the peer. If false, the
-	// request certainly did not run.
+	// Sent is set if the request may have reached the peer. If it is not, the
+	// request did not run.
 	Sent  bool
 	Cause error
 }
@@ -67,11 +68,11 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Cause }
 
-// RequestHandler serves requests on the dispatcher's side.
+// RequestHandler handles requests on the VM of the dispatcher.
 type RequestHandler interface {
 	// Serve handles one request; it runs on a goroutine of its own. body is nil
-	// unless request.BodyFollows. The context ends when the entry cancels or
-	// the session is lost. The returned body is sent after the response if
+	// unless request.BodyFollows. The context ends when the
+	// sender cancels the request or the session is lost. The returned body is sent after the response if
 	// response.BodyFollows, and closed.
 	Serve(ctx context.Context, from Peer, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser)
 }
--- a/internal/connection/peer/session.go
+++ b/internal/connection/peer/session.go
@@ -14,7 +14,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// Kinds of streams, given by the first byte.
+// The kinds of streams. The first byte on a stream gives its kind.
 const (
 	streamControl      = 'C'
 	streamRequests     = 'R'
@@ -23,19 +23,22 @@
 )
 
 const (
-	// controlReadBuffer and requestReadBuffer are the read buffers of the
-	// long-lived streams in bytes.
+	// controlReadBuffer and requestReadBuffer are the sizes in bytes of the read
+	// buffers of the long-lived streams.
 	controlReadBuffer = 1 << 10
 	requestReadBuffer = 4 << 10
-	// bodyReadBuffer is the read buffer of a body's stream in bytes.
+	// bodyReadBuffer is the size in bytes of the read buffer of a body stream.
 	bodyReadBuffer = 4 << 10
-	// maxServing bounds the requests of one session that are served at once.
+	// maxServing is the maximum number of requests that one session serves at once.
 	maxServing = 8192
-	// streamHeadTimeout bounds the wait for the head of a new stream.
+	// streamHeadTimeout bounds the wait for the kind of a new stream, and for its
+	// first message.
 	streamHeadTimeout = 10 * time.Second
-	// connectionWriteTimeout ends a session whose connection takes no bytes.
+	// connectionWriteTimeout bounds a write to the connection; after it the session
+	// is closed.
 	connectionWriteTimeout = 10 * time.Second
-	// streamCloseTimeout frees a stream that the peer never closes.
+	// streamCloseTimeout is the time after which a closed stream that the peer has
+	// not closed is released.
 	streamCloseTimeout = time.Minute
 )
 
@@ -45,19 +48,20 @@
 	errSessionSilent  = fault.New(fault.UnknownOutcome, "check the peer's VM and the network", "the peer no longer answers")
 )
 
-// sessionState is the state of a session. It only rises.
+// sessionState is the state of a session. It only advances, in the order below.
 type sessionState uint8
 
 const (
-	// sessionOpen: both sides may open requests.
+	// sessionOpen means that both sides may send new requests.
 	sessionOpen sessionState = iota
-	// sessionLeaving: neither side opens requests; those under way go on.
+	// sessionLeaving means that no new requests are sent; those in flight continue.
 	sessionLeaving
-	// sessionClosed: the connection is gone.
+	// sessionClosed means that the connection is closed.
 	sessionClosed
 )
 
-// session is one connection to a peer with its long-lived streams.
+// session is one connection to a peer, multiplexed by yamux, with its two
+// long-lived streams. Its times are those of now; atomic ones are in nanoseconds.
 type session struct {
 	transport *Transport
 	peer      Peer
@@ -72,28 +76,32 @@
 	// roundTrip is the shortest measured round trip time in nanoseconds; 0 before
 	// the first measurement.
 	roundTrip atomic.Int64
-	// usedAt is when the session last carried a message of its users.
+	// usedAt is when the session last carried a request, a response, a body or a
+	// control message; probes do not count.
 	usedAt atomic.Int64
 
-	mu      sync.Mutex
-	state   sessionState
-	cause   error
-	nextID  uint64
+	mu    sync.Mutex
+	state sessionState
+	// cause is why the session was closed; nil before.
+	cause  error
+	nextID uint64
+	// pending holds the requests to the peer that await a response, serving the
+	// requests of the peer that are being handled, both by request ID.
 	pending map[uint64]*pending
 	serving map[uint64]context.CancelFunc
 	// bodies counts the bodies that are still being read or written.
 	bodies int
-	// ackLeave is set while the peer waits for the acknowledgement of its Leave.
+	// ackLeave is set while a Leave of the peer is still to be acknowledged.
 	ackLeave bool
-	// left is set once the peer has acknowledged our Leave.
+	// left is set once the peer has acknowledged the Leave of this side.
 	left bool
 
 	openedAt time.Duration
 }
 
-// yamuxConfig returns the settings of a session. Keepalives are off: the
-// transport probes only sessions that somebody waits on, so that an idle
-// session costs nothing.
+// yamuxConfig returns the yamux settings of a session. Keepalives are off so that
+// an idle session causes no traffic: the transport probes a peer only while
+// something waits for it.
 func yamuxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.EnableKeepAlive = false
@@ -104,9 +112,9 @@
 	return config
 }
 
-// openSession exchanges greetings on a fresh connection, asks check whether the
-// peer is the one that was meant before anything else is sent, and opens the
-// long-lived streams. It closes the connection on an error.
+// openSession performs the handshake on a new connection, passes the peer to
+// check before anything else is sent, and opens the long-lived streams. On an
+// error it closes the connection.
 func openSession(t *Transport, conn net.Conn, dialed bool, check func(Peer) error) (*session, error) {
 	peer, err := exchangeHello(conn, t.config.Self, t.config.Deployment)
 	if err == nil {
@@ -133,8 +141,9 @@
 	return s, nil
 }
 
-// start opens the multiplexer and the two long-lived streams; the dialing side
-// opens them, in a fixed order.
+// start starts yamux on the connection, sets up the two long-lived streams and
+// starts the goroutines of the session. The dialing side opens the streams, in a
+// fixed order.
 func (s *session) start() (err error) {
 	open := yamux.Server
 	if s.dialed {
@@ -162,7 +171,8 @@
 	return nil
 }
 
-// sharedStream opens or accepts a long-lived stream.
+// sharedStream opens a long-lived stream on the dialing side, and accepts it on
+// the other.
 func (s *session) sharedStream(kind byte) (*yamux.Stream, error) {
 	if s.dialed {
 		stream, err := s.mux.OpenStream()
@@ -197,19 +207,21 @@
 	return kind[0], stream.SetReadDeadline(time.Time{})
 }
 
-// run starts a task of the session; the session ends with its first task.
+// run starts a task in a goroutine; the session is closed when the first of its
+// tasks returns.
 func (s *session) run(task func() error) {
 	s.spawn(func() { s.fail(task()) })
 }
 
-// spawn starts a goroutine that Transport.Close waits for. Its caller runs on
-// such a goroutine itself, so Close cannot have passed yet.
+// spawn starts a goroutine that Transport.Close waits for. It may be called only
+// from such a goroutine, so that Close is still waiting.
 func (s *session) spawn(task func()) {
 	s.transport.tasks.Go(task)
 }
 
-// fail closes the session and ends everything that waits on it. Only the first
-// cause counts.
+// fail closes the session and ends all its requests: those to the peer fail with
+// cause, the handlers of those from the peer are canceled. Only the first call
+// has an effect.
 func (s *session) fail(cause error) {
 	s.mu.Lock()
 	if s.state == sessionClosed {
@@ -233,7 +245,7 @@
 }
 
 // usable reports whether new requests may be sent: the session is open and the
-// peer has not fallen silent.
+// peer is not suspect.
 func (s *session) usable() bool {
 	return !s.suspect(now()) && s.currentState() == sessionOpen
 }
@@ -251,9 +263,10 @@
 	return s.cause
 }
 
+// touch records that the session is in use.
 func (s *session) touch() { s.usedAt.Store(int64(now())) }
 
-// holdBody counts a body under way; the returned function ends it.
+// holdBody counts a body as in transfer until the returned function is called.
 func (s *session) holdBody() func() {
 	s.mu.Lock()
 	s.bodies++
@@ -267,7 +280,8 @@
 	}
 }
 
-// readControl delivers control messages in the order in which they were sent.
+// readControl handles the messages of the control stream one after the other, so
+// they are delivered in the order in which they were sent.
 func (s *session) readControl(stream *yamux.Stream) error {
 	reader := newFrameReader(stream, controlReadBuffer)
 	for {
@@ -284,7 +298,7 @@
 	}
 }
 
-// readRequests reads the shared request stream.
+// readRequests handles the frames of the shared request stream.
 func (s *session) readRequests(stream *yamux.Stream) error {
 	reader := newFrameReader(stream, requestReadBuffer)
 	for {
@@ -308,7 +322,7 @@
 	}
 }
 
-// acceptBodies accepts the streams on which bodies come.
+// acceptBodies accepts the streams that carry bodies.
 func (s *session) acceptBodies() error {
 	for {
 		stream, err := s.mux.AcceptStream()
@@ -319,9 +333,9 @@
 	}
 }
 
-// receiveBody reads the head of a body's stream and hands the body on. A stream
-// that cannot be read is closed; whoever waits for it learns by its own deadline
-// or by the end of the session.
+// receiveBody reads the request or response at the head of a body stream and
+// passes it on with the body. A stream whose head cannot be read is closed; a
+// request that waits for it ends by its own deadline or with the session.
 func (s *session) receiveBody(stream *yamux.Stream) {
 	kind, err := readKind(stream, streamHeadTimeout)
 	if err != nil {
--- a/internal/connection/peer/sessions.go
+++ b/internal/connection/peer/sessions.go
@@ -13,7 +13,7 @@
 
 var errCallLost = fault.New(fault.UnknownOutcome, "repeat the call", "the session was lost before the reply")
 
-// accept opens the session of an incoming connection.
+// accept opens a session on an incoming connection.
 func (t *Transport) accept(conn net.Conn) {
 	defer t.tasks.Done()
 	if tcp, ok := conn.(*net.TCPConn); ok {
@@ -58,8 +58,9 @@
 	return secured, nil
 }
 
-// register adds an open session to the links of its peer; dialed is the link
-// that opened it, nil for an accepted session.
+// register adds an open session to the link of its peer and to dialed, the link
+// that it was dialed for (nil for an accepted session). The two differ if an
+// address was dialed.
 func (t *Transport) register(s *session, dialed *link) error {
 	t.mu.Lock()
 	if t.closing {
@@ -81,14 +82,14 @@
 	return nil
 }
 
-// dropped is called once by a session that has closed.
+// dropped is called once by each session, after it has closed.
 func (t *Transport) dropped(s *session, cause error) {
 	t.unlink(s)
 	events.PeerSessionClosed.Log(&t.config.Logger).Str("vm", s.peer.VM).Str("incarnation", s.peer.Incarnation).Str("cause", cause.Error()).Send()
 }
 
-// unlink takes a closed session out of all links and ends the calls that may
-// have gone there.
+// unlink removes a closed session from all links and fails the control calls that
+// may have been sent on it.
 func (t *Transport) unlink(s *session) {
 	t.mu.Lock()
 	delete(t.sessions, s)
--- a/internal/connection/peer/stats.go
+++ b/internal/connection/peer/stats.go
@@ -2,24 +2,28 @@
 
 import "sync/atomic"
 
-// Stats are running totals since the start, and the number of open sessions.
+// Stats holds totals since the start of the transport, and the number of open
+// sessions.
 type Stats struct {
 	SessionsOpen int
 	// ControlBytesSent and ControlBytesReceived count control messages with
 	// their length prefixes, without yamux and TCP headers.
 	ControlBytesSent     int64
 	ControlBytesReceived int64
-	// BytesSent and BytesReceived count everything on the connections.
+	// BytesSent and BytesReceived count all bytes of the sessions, yamux headers
+	// included, without the handshake and TLS.
 	BytesSent     int64
 	BytesReceived int64
 	// ControlDropped counts control messages that were never written.
 	ControlDropped int64
-	// Unmatched counts responses and replies that nobody waited for.
+	// Unmatched counts received responses and replies that belong to no pending
+	// request or call.
 	Unmatched int64
-	// BodiesCut counts bodies that were not sent to their end.
+	// BodiesCut counts bodies that were not sent completely.
 	BodiesCut int64
 }
 
+// counters holds the totals of Stats.
 type counters struct {
 	controlBytesSent     atomic.Int64
 	controlBytesReceived atomic.Int64
--- a/internal/connection/peer/transport.go
+++ b/internal/connection/peer/transport.go
@@ -17,35 +17,39 @@
 )
 
 const (
-	// DefaultMaxSmallBody is the largest body in bytes that travels inside its message.
+	// DefaultMaxSmallBody is the default of Config.MaxSmallBody in bytes.
 	DefaultMaxSmallBody = 32 << 10
 	// DefaultIdleTimeout is the time after which an unused session is closed.
 	DefaultIdleTimeout = time.Minute
-	// closeGrace is how long Close waits for requests under way.
+	// closeGrace is how long Close waits for requests in flight.
 	closeGrace = 2 * time.Second
-	// acceptRetry is the delay after a connection could not be accepted.
+	// acceptRetry is the delay after a failed accept.
 	acceptRetry = 20 * time.Millisecond
 )
 
 // Config configures a Transport. Zero values of IdleTimeout and MaxSmallBody
 // mean the defaults.
 type Config struct {
-	// Self is the own VM in its incarnation.
+	// Self is this VM and its incarnation.
 	Self Peer
 	// Deployment must be the same on both sides of a session.
 	Deployment string
 	// Listener accepts the sessions of other VMs; the Transport closes it.
 	Listener net.Listener
-	// AddressOf returns host:port of a VM's peer listener.
+	// AddressOf returns the address (host:port) of a VM's peer listener; ok is
+	// false if it is not known.
 	AddressOf func(vm string) (address string, ok bool)
 	// TLS secures all sessions in both directions; nil means plain connections.
 	TLS *tls.Config
-	// Control and Requests handle what peers send. Without Control messages are
-	// ignored; without Requests every request is refused as not run.
-	Control     ControlHandler
-	Requests    RequestHandler
+	// Control and Requests handle what peers send. If Control is nil, control
+	// messages are ignored; if Requests is nil, every request is refused as not
+	// run.
+	Control  ControlHandler
+	Requests RequestHandler
+	// IdleTimeout is the time after which an unused session is closed.
 	IdleTimeout time.Duration
-	// MaxSmallBody is the largest body in bytes that travels inside its message.
+	// MaxSmallBody is the size in bytes of the largest body that is sent inside
+	// its request or response instead of on a stream of its own.
 	MaxSmallBody int
 	Logger       zerolog.Logger
 	Metrics      tally.Scope
@@ -54,25 +58,28 @@
 // Transport implements ControlSender and RequestSender over one yamux session
 // per pair of VMs.
 type Transport struct {
-	config  Config
-	stats   counters
-	calls   *calls
+	config Config
+	stats  counters
+	calls  *calls
+	// localID is the ID of the last request that this VM sent to itself.
 	localID atomic.Uint64
 	workers workers
 
+	// ctx ends when the transport stops. tasks counts its goroutines, except
+	// those of workers.
 	ctx    context.Context
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 
-	links sync.Map // string -> *link
+	links sync.Map // VM name or address -> *link
 
 	mu       sync.Mutex
 	sessions map[*session]struct{}
 	closing  bool
 }
 
-// NewTransport returns a transport; it accepts sessions once Run is called and
-// opens them on use.
+// NewTransport returns a transport. It dials sessions when they are needed, and
+// accepts sessions of other VMs while Run runs.
 func NewTransport(config Config) *Transport {
 	if config.IdleTimeout <= 0 {
 		config.IdleTimeout = DefaultIdleTimeout
@@ -114,7 +121,8 @@
 			if errors.Is(err, net.ErrClosed) {
 				return errors.Annotate(err, "peer listener was closed; restart the daemon")
 			}
-			// E.g. too many open files: connections that end make room.
+			// For example too many open files: retry, as connections that close
+			// free some.
 			time.Sleep(acceptRetry)
 			continue
 		}
@@ -126,8 +134,9 @@
 	}
 }
 
-// Close announces the end of all sessions, waits a moment for requests under
-// way, and closes everything. After it no goroutine of the transport is left.
+// Close leaves all sessions, waits up to closeGrace for the requests in flight,
+// and closes the listener and all connections. It returns after all goroutines of
+// the transport have ended.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closing = true
@@ -151,8 +160,8 @@
 	t.workers.stop()
 }
 
-// leaveAll announces the end of every session; it reports whether requests are
-// still under way or a peer has yet to acknowledge.
+// leaveAll leaves every session; it reports whether requests are still in flight
+// or a peer has not acknowledged yet.
 func (t *Transport) leaveAll() bool {
 	busy := false
 	for _, s := range t.allSessions() {
@@ -164,7 +173,7 @@
 	return busy
 }
 
-// stop closes the listener and all sessions at once.
+// stop closes the listener and all sessions without waiting for requests.
 func (t *Transport) stop() {
 	t.mu.Lock()
 	t.closing = true
@@ -176,7 +185,8 @@
 	}
 }
 
-// monitor checks all sessions and reports totals until the transport stops.
+// monitor checks all sessions, removes idle workers and links, and reports the
+// statistics as metrics, until the transport stops.
 func (t *Transport) monitor() {
 	defer t.tasks.Done()
 	ticker := time.NewTicker(monitorInterval)
@@ -208,7 +218,7 @@
 	return all
 }
 
-// link returns the link of a VM or address.
+// link returns the link of a VM or address, and creates it if needed.
 func (t *Transport) link(key string) *link {
 	if l, ok := t.links.Load(key); ok {
 		return l.(*link)
@@ -217,7 +227,7 @@
 	return l.(*link)
 }
 
-// trimLinks forgets destinations that are no longer used.
+// trimLinks removes the links of destinations that are no longer used.
 func (t *Transport) trimLinks(at time.Duration) {
 	t.links.Range(func(key, value any) bool {
 		if value.(*link).idle(at) {
@@ -227,7 +237,8 @@
 	})
 }
 
-// startTask counts a goroutine; it reports false once the transport is closing.
+// startTask adds a goroutine to tasks, which calls tasks.Done when it ends. It
+// reports false once the transport is closing.
 func (t *Transport) startTask() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -246,4 +257,6 @@
 
 func (t *Transport) isSelf(vm string) bool { return vm == t.config.Self.VM }
 
+// isAddress reports whether a destination is an address (host:port), not a VM
+// name.
 func isAddress(vm string) bool { return strings.ContainsRune(vm, ':') }
