--- a/internal/connection/peer/helpers_test.go
+++ b/internal/connection/peer/helpers_test.go
@@ -6,6 +6,7 @@
 	"github.com/juju/errors"
 )
 
+// failingReader fails every Read.
 type failingReader struct{}
 
 func (failingReader) Read([]byte) (int, error) { return 0, errors.New("the source broke") }
@@ -18,7 +19,7 @@
 	return len(p), nil
 }
 
-// bodiesUnderWay counts the bodies on all sessions.
+// bodiesUnderWay counts the bodies in transfer on all sessions.
 func (t *Transport) bodiesUnderWay() int {
 	total := 0
 	for _, s := range t.allSessions() {
--- a/internal/connection/peer/lifetime_test.go
+++ b/internal/connection/peer/lifetime_test.go
@@ -25,7 +25,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/timing"
 )
 
-// stallingProxy passes bytes on until it is told to stall; connections stay open.
+// stallingProxy forwards bytes unless stalled is set; its connections stay open.
 type stallingProxy struct {
 	listener net.Listener
 	stalled  atomic.Bool
@@ -89,7 +89,7 @@
 }
 
 // TestSilentPeer covers a peer that is frozen or cut off while its connection
-// stays open: new requests are refused as not sent, those under way go on, and
+// stays open: new requests are refused as not sent, those in flight continue, and
 // the session recovers.
 func TestSilentPeer(t *testing.T) {
 	d := &directory{}
@@ -106,14 +106,14 @@
 		_, _, err := a.Do(testContext(t), "b", &peerv1.Request{}, nil)
 		underWay <- err
 	}()
-	eventually(t, "the peer is seen as silent", func() bool { return a.link("b").usable() == nil })
+	eventually(t, "the session is suspect", func() bool { return a.link("b").usable() == nil })
 	_, _, err := a.Do(testContext(t), "b", &peerv1.Request{}, nil)
 	assert.ErrorIs(t, err, errSilentPeer)
 	assert.Assert(t, !sentOf(t, err))
 
 	proxy.stalled.Store(false)
 	assert.NilError(t, <-underWay)
-	eventually(t, "the session is used again", func() bool { return a.link("b").usable() != nil })
+	eventually(t, "the session is usable again", func() bool { return a.link("b").usable() != nil })
 	checkDo(t, a, "b")
 	assert.Equal(t, a.Stats().SessionsOpen, 1)
 }
@@ -144,8 +144,8 @@
 	checkDo(t, a, "b")
 }
 
-// TestClosingCutsNoRequest sends without a pause while sessions are closed by
-// agreement again and again.
+// TestClosingCutsNoRequest sends requests continually while sessions are closed
+// gracefully again and again.
 func TestClosingCutsNoRequest(t *testing.T) {
 	d := &directory{}
 	a, b := start(t, d, "a", nil), start(t, d, "b", nil)
@@ -165,7 +165,8 @@
 	group.Wait()
 }
 
-// sendUntil sends small and streamed requests; one that fails must not have been sent.
+// sendUntil sends small and streamed requests until stop is closed. A request that
+// fails must not have been sent.
 func sendUntil(t *testing.T, stop chan struct{}, from *Transport, vm string) {
 	content := make([]byte, DefaultMaxSmallBody+1)
 	for i := 0; ; i++ {
@@ -198,7 +199,7 @@
 	}
 }
 
-// TestCloseWaitsForRequestsUnderWay covers the end of a transport.
+// TestCloseWaitsForRequestsUnderWay checks that Close lets requests in flight end.
 func TestCloseWaitsForRequestsUnderWay(t *testing.T) {
 	d := &directory{}
 	a := start(t, d, "a", nil)
@@ -220,8 +221,8 @@
 	assert.NilError(t, <-result)
 }
 
-// TestFrameNeverWrittenIsNotSent makes sure that Sent is false for a request
-// that was still queued when the session was lost.
+// TestFrameNeverWrittenIsNotSent checks what SendError.Sent is derived from: a
+// frame that was still queued when the writer was closed counts as not sent.
 func TestFrameNeverWrittenIsNotSent(t *testing.T) {
 	w := newGatherWriter()
 	first, err := w.add(&peerv1.Request{Uri: "/first"})
@@ -234,7 +235,7 @@
 	assert.Assert(t, first < w.handed())
 	assert.Assert(t, second >= w.handed())
 	_, open = w.take()
-	assert.Assert(t, !open, "a closed writer hands out no more bytes")
+	assert.Assert(t, !open, "a closed writer returns no more bytes")
 	_, err = w.add(&peerv1.Request{})
 	assert.ErrorIs(t, err, errWriterClosed)
 }
@@ -279,8 +280,9 @@
 	assert.Assert(t, known, "a destination with a session is kept")
 }
 
-// TestTrafficDoesNotDelayControlMessages makes calls while large bodies fill the
-// session, and bounds them by the interval of lease renewals.
+// TestTrafficDoesNotDelayControlMessages makes control calls while large bodies
+// fill the session. Their median duration must stay below the interval of lease
+// renewals.
 func TestTrafficDoesNotDelayControlMessages(t *testing.T) {
 	d := &directory{}
 	a := start(t, d, "a", nil)
@@ -312,7 +314,7 @@
 	assert.Assert(t, took[len(took)/2] < timing.RenewalInterval)
 }
 
-// untilClosed is an endless body that ends when the channel is closed.
+// untilClosed is a body that ends when its channel is closed.
 type untilClosed struct{ stop chan struct{} }
 
 func (u *untilClosed) Read(p []byte) (int, error) {
--- a/internal/connection/peer/main_test.go
+++ b/internal/connection/peer/main_test.go
@@ -17,17 +17,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds waits for something that must happen; it is no measure of speed.
+// patience bounds the wait for a condition that must become true. It is generous:
+// tests do not check speed with it.
 const patience = 20 * time.Second
 
-// serveFunc is a RequestHandler.
+// serveFunc is a function used as RequestHandler.
 type serveFunc func(ctx context.Context, from Peer, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser)
 
 func (f serveFunc) Serve(ctx context.Context, from Peer, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser) {
 	return f(ctx, from, request, body)
 }
 
-// echo answers with the request's body.
+// echo answers a request with the body of the request.
 func echo(_ context.Context, _ Peer, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser) {
 	response := &peerv1.Response{Outcome: outcome.Answered.Wire(), Status: 200, ContentLength: int64(len(request.Body)), Body: request.Body}
 	if body != nil {
@@ -59,7 +60,8 @@
 	return address, ok
 }
 
-// start runs a transport on loopback until the end of the test.
+// start runs the transport of a VM on loopback until the end of the test and adds
+// its address to the directory. change may adjust its Config.
 func start(t testing.TB, d *directory, vm string, change func(*Config)) *Transport {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,7 +85,7 @@
 	return transport
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition is true.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); !condition(); time.Sleep(2 * time.Millisecond) {
@@ -93,13 +95,14 @@
 	}
 }
 
+// testContext returns a context that ends after patience, or with the test.
 func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// sentOf returns what a failed Do says about the request.
+// sentOf returns the Sent field of an error, which must be a *SendError.
 func sentOf(t *testing.T, err error) bool {
 	t.Helper()
 	failure, ok := err.(*SendError)
--- a/internal/connection/peer/transport_test.go
+++ b/internal/connection/peer/transport_test.go
@@ -106,7 +106,8 @@
 	assert.ErrorContains(t, err, "ended before its end marker")
 }
 
-// TestShortInlineBodyIsUnknown covers a small body whose source ends early.
+// TestShortInlineBodyIsUnknown covers a small response body that ends before its
+// announced length.
 func TestShortInlineBodyIsUnknown(t *testing.T) {
 	d := &directory{}
 	a := start(t, d, "a", nil)
@@ -121,7 +122,8 @@
 	assert.Equal(t, response.Reason, string(outcome.TargetBroken))
 }
 
-// TestRefusedRequestConsumesNoBody makes sure that a refused upload can go elsewhere.
+// TestRefusedRequestConsumesNoBody checks that the body of a refused request stays
+// unread, so that the request can be sent to another VM.
 func TestRefusedRequestConsumesNoBody(t *testing.T) {
 	d := &directory{}
 	a := start(t, d, "a", nil)
@@ -191,8 +193,8 @@
 	}
 }
 
-// TestFrozenPeerIsNotSent covers a daemon that is stopped: its kernel accepts the
-// connection, but nobody answers.
+// TestFrozenPeerIsNotSent covers a frozen daemon: the kernel accepts the
+// connection, but the handshake is not answered.
 func TestFrozenPeerIsNotSent(t *testing.T) {
 	d := &directory{}
 	a := start(t, d, "a", nil)
@@ -303,7 +305,7 @@
 
 	own, _ := d.of("a")
 	a.Send(own, message)
-	eventually(t, "the address is known as the own one", func() bool { return a.link(own).self.Load() })
+	eventually(t, "the address is known to be this VM's own", func() bool { return a.link(own).self.Load() })
 	a.Send(own, message)
 	assert.Equal(t, <-received, "a")
 }
@@ -353,6 +355,7 @@
 	}
 }
 
+// checkDo sends a request to a VM and checks that the response echoes its body.
 func checkDo(t *testing.T, from *Transport, vm string) {
 	response, _, err := from.Do(testContext(t), vm, &peerv1.Request{Body: []byte(vm)}, nil)
 	assert.Check(t, err)
