--- a/internal/connection/peer/do.go
+++ b/internal/connection/peer/do.go
@@ -31,7 +31,7 @@
 // place registers a request on a session to a VM. A session that begins to
 // close at the same moment is replaced by another.
 func (t *Transport) place(ctx context.Context, vm string, request *peerv1.Request) (*session, *pending, error) {
-	for range sessionsPerRequest {
+	for range maxSessionAttempts {
 		s, err := t.sessionTo(ctx, vm)
 		if err != nil {
 			return nil, nil, err
@@ -117,7 +117,7 @@
 	if !s.transport.startTask() {
 		return false, errClosed
 	}
-	release := s.holdBody()
+	release := s.trackBody()
 	stream, err := s.openBodyStream(streamRequestBody, requestFrame(request))
 	if err != nil {
 		release()
--- a/internal/connection/peer/helpers_test.go
+++ b/internal/connection/peer/helpers_test.go
@@ -19,8 +19,8 @@
 	return len(p), nil
 }
 
-// bodiesUnderWay counts the bodies in transfer on all sessions.
-func (t *Transport) bodiesUnderWay() int {
+// openBodies counts the bodies in transfer on all sessions.
+func (t *Transport) openBodies() int {
 	total := 0
 	for _, s := range t.allSessions() {
 		s.mu.Lock()
--- a/internal/connection/peer/hostile_test.go
+++ b/internal/connection/peer/hostile_test.go
@@ -52,7 +52,7 @@
 		assert.Check(t, err)
 		p.requests, err = p.mux.AcceptStream()
 		assert.Check(t, err)
-		_, err = readKind(p.requests, patience)
+		_, err = readKind(p.requests, testTimeout)
 		assert.Check(t, err)
 		p.reader = newFrameReader(p.requests, requestReadBuffer)
 		serve(p)
--- a/internal/connection/peer/leave.go
+++ b/internal/connection/peer/leave.go
@@ -37,14 +37,14 @@
 // waits for it, and closes the session if the probe is not answered within
 // failAfter. Any byte from the peer counts as an answer.
 func (s *session) checkSilence(at time.Duration) {
-	probed := time.Duration(s.probeAt.Load())
-	heard := s.conn.heard()
+	probedAt := time.Duration(s.probeAt.Load())
+	lastRead := s.conn.lastRead()
 	switch {
-	case probed != 0 && heard >= probed:
+	case probedAt != 0 && lastRead >= probedAt:
 		s.probeAt.Store(0)
-	case probed != 0 && at-probed > failAfter:
-		s.spawn(func() { s.fail(errSessionSilent) })
-	case probed == 0 && at-heard > probeAfter && s.waitsForPeer():
+	case probedAt != 0 && at-probedAt > failAfter:
+		s.spawn(func() { s.fail(errPeerUnresponsive) })
+	case probedAt == 0 && at-lastRead > probeAfter && s.waitsForPeer():
 		s.probeAt.Store(int64(at))
 		s.spawn(s.probe)
 	}
@@ -65,9 +65,9 @@
 
 // suspect reports whether a probe has stayed unanswered for too long.
 func (s *session) suspect(at time.Duration) bool {
-	probed := time.Duration(s.probeAt.Load())
+	probedAt := time.Duration(s.probeAt.Load())
 	allowed := suspectAfter + 2*time.Duration(s.roundTrip.Load())
-	return probed != 0 && s.conn.heard() < probed && at-probed > allowed
+	return probedAt != 0 && s.conn.lastRead() < probedAt && at-probedAt > allowed
 }
 
 // waitsForPeer reports whether a request, a body or a control call waits for the
@@ -90,20 +90,20 @@
 		limit += limit / 2
 	}
 	s.mu.Lock()
-	quiet := s.quietLocked()
+	drained := s.drainedLocked()
 	state := s.state
-	left := s.left
+	leaveAcked := s.leaveAcked
 	s.mu.Unlock()
 	switch {
-	case state == sessionOpen && quiet && idle > limit:
+	case state == sessionOpen && drained && idle > limit:
 		s.leave()
-	case state == sessionLeaving && quiet && (left || idle > limit+leaveTimeout):
+	case state == sessionLeaving && drained && (leaveAcked || idle > limit+leaveTimeout):
 		s.spawn(func() { s.fail(errSessionIdle) })
 	}
 }
 
-// quietLocked reports whether nothing is in flight in either direction.
-func (s *session) quietLocked() bool {
+// drainedLocked reports whether nothing is in flight in either direction.
+func (s *session) drainedLocked() bool {
 	return len(s.pending) == 0 && len(s.serving) == 0 && s.bodies == 0
 }
 
@@ -125,23 +125,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if accepted {
-		s.left = true
+		s.leaveAcked = true
 		return
 	}
 	if s.state == sessionOpen {
 		s.state = sessionLeaving
 	}
-	s.ackLeave = true
+	s.leaveAckDue = true
 	s.acknowledgeLeaveLocked()
 }
 
 // acknowledgeLeaveLocked acknowledges the peer's Leave once this side has no
 // request or body in flight, so that the peer may close the session.
 func (s *session) acknowledgeLeaveLocked() {
-	if !s.ackLeave || len(s.pending) > 0 || s.bodies > 0 {
+	if !s.leaveAckDue || len(s.pending) > 0 || s.bodies > 0 {
 		return
 	}
-	s.ackLeave = false
+	s.leaveAckDue = false
 	_, _ = s.requests.add(leaveFrame(true))
 }
 
--- a/internal/connection/peer/lifetime_test.go
+++ b/internal/connection/peer/lifetime_test.go
@@ -30,7 +30,7 @@
 	listener net.Listener
 	stalled  atomic.Bool
 	mu       sync.Mutex
-	open     []net.Conn
+	conns    []net.Conn
 	tasks    sync.WaitGroup
 }
 
@@ -50,7 +50,7 @@
 				continue
 			}
 			p.mu.Lock()
-			p.open = append(p.open, in, out)
+			p.conns = append(p.conns, in, out)
 			p.mu.Unlock()
 			p.tasks.Go(func() { p.copy(in, out) })
 			p.tasks.Go(func() { p.copy(out, in) })
@@ -59,7 +59,7 @@
 	t.Cleanup(func() {
 		_ = listener.Close()
 		p.mu.Lock()
-		for _, conn := range p.open {
+		for _, conn := range p.conns {
 			_ = conn.Close()
 		}
 		p.mu.Unlock()
@@ -95,25 +95,25 @@
 	d := &directory{}
 	a := start(t, d, "a", nil)
 	start(t, d, "b", nil)
-	address, _ := d.of("b")
+	address, _ := d.addressOf("b")
 	proxy := newStallingProxy(t, address)
 	d.set("b", proxy.listener.Addr().String())
 	checkDo(t, a, "b")
 
 	proxy.stalled.Store(true)
-	underWay := make(chan error, 1)
+	inFlight := make(chan error, 1)
 	go func() {
 		_, _, err := a.Do(testContext(t), "b", &peerv1.Request{}, nil)
-		underWay <- err
+		inFlight <- err
 	}()
-	eventually(t, "the session is suspect", func() bool { return a.link("b").usable() == nil })
+	eventually(t, "the session is suspect", func() bool { return a.link("b").usableSession() == nil })
 	_, _, err := a.Do(testContext(t), "b", &peerv1.Request{}, nil)
-	assert.ErrorIs(t, err, errSilentPeer)
+	assert.ErrorIs(t, err, errPeerSuspect)
 	assert.Assert(t, !sentOf(t, err))
 
 	proxy.stalled.Store(false)
-	assert.NilError(t, <-underWay)
-	eventually(t, "the session is usable again", func() bool { return a.link("b").usable() != nil })
+	assert.NilError(t, <-inFlight)
+	eventually(t, "the session is usable again", func() bool { return a.link("b").usableSession() != nil })
 	checkDo(t, a, "b")
 	assert.Equal(t, a.Stats().SessionsOpen, 1)
 }
@@ -122,13 +122,13 @@
 	d := &directory{}
 	a := start(t, d, "a", nil)
 	start(t, d, "b", nil)
-	address, _ := d.of("b")
+	address, _ := d.addressOf("b")
 	proxy := newStallingProxy(t, address)
 	d.set("b", proxy.listener.Addr().String())
 	checkDo(t, a, "b")
 	proxy.stalled.Store(true)
 	_, _, err := a.Do(testContext(t), "b", &peerv1.Request{}, nil)
-	assert.ErrorIs(t, err, errSessionSilent)
+	assert.ErrorIs(t, err, errPeerUnresponsive)
 	assert.Assert(t, sentOf(t, err))
 }
 
@@ -270,10 +270,10 @@
 	checkDo(t, a, "b")
 	a.Send("gone", &peerv1.Control{})
 	eventually(t, "the dial has failed", func() bool { return a.link("gone").dialError() != nil })
-	a.trimLinks(now() + linkIdle/2)
+	a.trimLinks(now() + linkIdleTimeout/2)
 	_, known := a.links.Load("gone")
 	assert.Assert(t, known)
-	a.trimLinks(now() + linkIdle + time.Second)
+	a.trimLinks(now() + linkIdleTimeout + time.Second)
 	_, known = a.links.Load("gone")
 	assert.Assert(t, !known)
 	_, known = a.links.Load("b")
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -22,23 +22,23 @@
 	// redialMin and redialMax bound the backoff after a failed dial.
 	redialMin = 50 * time.Millisecond
 	redialMax = 1 * time.Second
-	// linkIdle is the time after which the link of an unused destination is
+	// linkIdleTimeout is the time after which the link of an unused destination is
 	// removed. VMs are replaced continually and their names are not reused, so
 	// links would accumulate.
-	linkIdle = 10 * time.Minute
-	// shortLife is the age below which the loss of a session counts as a failed
+	linkIdleTimeout = 10 * time.Minute
+	// minSessionLifetime is the age below which the loss of a session counts as a failed
 	// dial, so that a peer that closes every session is dialed with backoff.
-	shortLife = 1 * time.Second
-	// sessionsPerRequest bounds the sessions that one request tries when the
+	minSessionLifetime = 1 * time.Second
+	// maxSessionAttempts bounds the sessions that one request tries when the
 	// session that was selected for it starts to close.
-	sessionsPerRequest = 4
+	maxSessionAttempts = 4
 )
 
 var (
-	errNoAddress  = fault.New(fault.Unavailable, "wait until the VM has announced itself", "no address is known")
-	errClosed     = fault.New(fault.Unavailable, "send to another VM", "the daemon is stopping")
-	errSilentPeer = fault.New(fault.Unavailable, "try its backup", "the peer does not answer at the moment")
-	errSelf       = fault.New(fault.Refused, "remove this VM's address from the seed peers", "the address belongs to this VM")
+	errNoAddress   = fault.New(fault.Unavailable, "wait until the VM has announced itself", "no address is known")
+	errClosed      = fault.New(fault.Unavailable, "send to another VM", "the daemon is stopping")
+	errPeerSuspect = fault.New(fault.Unavailable, "try its backup", "the peer does not answer at the moment")
+	errSelf        = fault.New(fault.Refused, "remove this VM's address from the seed peers", "the address belongs to this VM")
 )
 
 // link is the state of one destination: its sessions, the dial in progress, and
@@ -47,8 +47,8 @@
 	// key is a VM name, or an address (host:port) if the name of the VM there is
 	// not known yet.
 	key string
-	// self is set once the address has been found to be this VM's own.
-	self atomic.Bool
+	// isSelf is set once the address has been found to be this VM's own.
+	isSelf atomic.Bool
 	// current is the session that new messages are sent on; nil if there is none.
 	current atomic.Pointer[session]
 
@@ -72,26 +72,26 @@
 func (l *link) idle(at time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.sessions) == 0 && l.dialing == nil && len(l.queue) == 0 && at-l.changedAt > linkIdle
+	return len(l.sessions) == 0 && l.dialing == nil && len(l.queue) == 0 && at-l.changedAt > linkIdleTimeout
 }
 
-// usable returns the current session if new requests may be sent on it, or nil.
-func (l *link) usable() *session {
+// usableSession returns the current session if new requests may be sent on it, or nil.
+func (l *link) usableSession() *session {
 	if s := l.current.Load(); s != nil && s.usable() {
 		return s
 	}
 	return nil
 }
 
-// adopt adds an open session to the link, chooses the current session and sends
+// addSession adds an open session to the link, chooses the current session and sends
 // the queued control messages on it. self is the name of this VM.
-func (l *link) adopt(s *session, self string) {
+func (l *link) addSession(s *session, selfVM string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sessions = append(l.sessions, s)
 	l.changedAt = now()
 	l.failures, l.retryAt, l.lastErr = 0, 0, nil
-	l.selectLocked(s, self)
+	l.selectLocked(s, selfVM)
 	for _, message := range l.queue {
 		l.current.Load().control.add(message)
 	}
@@ -102,7 +102,7 @@
 // usable and lead to the same peer, both sides keep the same session: the one
 // dialed by the VM whose name sorts first, or the earlier one if the same side
 // dialed both. The other is closed gracefully (see session.leave).
-func (l *link) selectLocked(s *session, self string) {
+func (l *link) selectLocked(s *session, selfVM string) {
 	current := l.current.Load()
 	if current == nil || current == s || !current.usable() || current.peer != s.peer {
 		l.current.Store(s)
@@ -114,21 +114,21 @@
 		}
 		return
 	}
-	lower := self < s.peer.VM
+	selfSortsFirst := selfVM < s.peer.VM
 	kept, extra := current, s
-	if s.dialed == lower {
+	if s.dialed == selfSortsFirst {
 		kept, extra = s, current
 	}
 	l.current.Store(kept)
-	if lower {
+	if selfSortsFirst {
 		extra.leave()
 	}
 }
 
-// remove removes a closed session and, if it was the current one, replaces it by
+// removeSession removes a closed session and, if it was the current one, replaces it by
 // another usable one. The loss of a session younger than shortLife counts as a
 // failed dial unless it was closed as idle.
-func (l *link) remove(s *session) {
+func (l *link) removeSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var next *session
@@ -142,8 +142,8 @@
 			next = other
 		}
 	}
-	if cause := s.closeCause(); cause != errSessionIdle && now()-s.openedAt < shortLife {
-		l.failLocked(cause)
+	if cause := s.closeCause(); cause != errSessionIdle && now()-s.openedAt < minSessionLifetime {
+		l.recordFailureLocked(cause)
 	}
 	clear(l.sessions[len(kept):])
 	l.sessions = kept
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// silentLocked reports whether the peer of an open session does not answer probes.
-func (l *link) silentLocked() bool {
+// suspectLocked reports whether the peer of an open session does not answer probes.
+func (l *link) suspectLocked() bool {
 	for _, s := range l.sessions {
 		if s.currentState() == sessionOpen && s.suspect(now()) {
 			return true
@@ -177,8 +177,8 @@
 	return false
 }
 
-// failLocked records a failed dial and starts the backoff until the next.
-func (l *link) failLocked(cause error) {
+// recordFailureLocked records a failed dial and starts the backoff until the next.
+func (l *link) recordFailureLocked(cause error) {
 	l.failures++
 	l.lastErr = cause
 	l.changedAt = now()
@@ -189,10 +189,10 @@
 // none.
 func (t *Transport) sessionTo(ctx context.Context, key string) (*session, error) {
 	l := t.link(key)
-	if s := l.usable(); s != nil {
+	if s := l.usableSession(); s != nil {
 		return s, nil
 	}
-	for range sessionsPerRequest {
+	for range maxSessionAttempts {
 		if s := l.reselect(); s != nil {
 			return s, nil
 		}
@@ -205,7 +205,7 @@
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		}
-		if s := l.usable(); s != nil {
+		if s := l.usableSession(); s != nil {
 			return s, nil
 		}
 		if err := l.dialError(); err != nil {
@@ -231,8 +231,8 @@
 	if l.dialing != nil {
 		return l.dialing, nil
 	}
-	if l.silentLocked() {
-		return nil, errSilentPeer
+	if l.suspectLocked() {
+		return nil, errPeerSuspect
 	}
 	if now() < l.retryAt {
 		return nil, errors.Annotate(l.lastErr, "the last dial failed and the next one waits for its backoff")
@@ -247,7 +247,7 @@
 
 // runDial opens a session for the link and closes ended. If that fails, it drops
 // the link's queued control messages and fails the calls to its destination.
-func (t *Transport) runDial(l *link, ended chan struct{}) {
+func (t *Transport) runDial(l *link, done chan struct{}) {
 	defer t.tasks.Done()
 	s, err := t.dialSession(l.key)
 	if err == nil {
@@ -256,7 +256,7 @@
 	l.mu.Lock()
 	l.dialing = nil
 	if err != nil {
-		l.failLocked(err)
+		l.recordFailureLocked(err)
 		t.stats.controlDropped.Add(int64(len(l.queue)))
 		l.queue = nil
 	}
@@ -265,7 +265,7 @@
 		t.calls.fail(l.key, err)
 		t.logDialFailed(l.key, err)
 	}
-	close(ended)
+	close(done)
 }
 
 // redialDelay returns the backoff after a number of failed dials in a row. It
@@ -300,8 +300,8 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	s, err := openSession(t, conn, true, func(peer Peer) error { return t.checkPeer(peer, key, address) })
 	if !stop() && err == nil {
-		s.fail(errSessionSilent)
-		err = errSessionSilent
+		s.fail(errPeerUnresponsive)
+		err = errPeerUnresponsive
 	}
 	if err != nil {
 		return nil, err
@@ -313,7 +313,7 @@
 func (t *Transport) checkPeer(peer Peer, key, address string) error {
 	switch {
 	case peer == t.config.Self:
-		t.link(key).self.Store(true)
+		t.link(key).isSelf.Store(true)
 		return errSelf
 	case peer.VM == t.config.Self.VM:
 		return fault.New(fault.Refused, "give each VM a name of its own", "the daemon at %s uses this VM's name %q", address, peer.VM)
@@ -323,8 +323,8 @@
 	return nil
 }
 
-// holds reports whether a session belongs to the link.
-func (l *link) holds(s *session) bool {
+// hasSession reports whether a session belongs to the link.
+func (l *link) hasSession(s *session) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, other := range l.sessions {
--- a/internal/connection/peer/main_test.go
+++ b/internal/connection/peer/main_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds the wait for a condition that must become true. It is generous:
+// testTimeout bounds the wait for a condition that must become true. It is generous:
 // tests do not check speed with it.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // serveFunc is a function used as RequestHandler.
 type serveFunc func(ctx context.Context, from Peer, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser)
@@ -53,7 +53,7 @@
 	d.addresses[vm] = address
 }
 
-func (d *directory) of(vm string) (string, bool) {
+func (d *directory) addressOf(vm string) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	address, ok := d.addresses[vm]
@@ -67,7 +67,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	config := Config{
-		Self: Peer{VM: vm, Incarnation: vm + "-1"}, Deployment: "test", Listener: listener, AddressOf: d.of,
+		Self: Peer{VM: vm, Incarnation: vm + "-1"}, Deployment: "test", Listener: listener, AddressOf: d.addressOf,
 		Control:  func(Peer, *peerv1.Control) *peerv1.Control { return nil },
 		Requests: serveFunc(echo),
 	}
@@ -88,16 +88,16 @@
 // eventually waits until a condition is true.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("did not happen in %v: %s", patience, what)
+			t.Fatalf("did not happen in %v: %s", testTimeout, what)
 		}
 	}
 }
 
 // testContext returns a context that ends after patience, or with the test.
 func testContext(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
--- a/internal/connection/peer/metrics.go
+++ b/internal/connection/peer/metrics.go
@@ -12,9 +12,9 @@
 // statsReporter publishes Stats as metrics: the totals as counters, the open
 // sessions as a gauge.
 type statsReporter struct {
-	scope    tally.Scope
-	reported Stats
-	at       time.Duration
+	scope      tally.Scope
+	reported   Stats
+	reportedAt time.Duration
 }
 
 func newStatsReporter(scope tally.Scope) *statsReporter {
@@ -24,11 +24,11 @@
 // report updates the metrics, unless the last update is less than metricsInterval
 // ago.
 func (r *statsReporter) report(stats Stats, at time.Duration) {
-	if at-r.at < metricsInterval {
+	if at-r.reportedAt < metricsInterval {
 		return
 	}
 	last := r.reported
-	r.at, r.reported = at, stats
+	r.reportedAt, r.reported = at, stats
 	r.scope.Gauge("sessions_open").Update(float64(stats.SessionsOpen))
 	r.scope.Counter("control_bytes_sent").Inc(stats.ControlBytesSent - last.ControlBytesSent)
 	r.scope.Counter("control_bytes_received").Inc(stats.ControlBytesReceived - last.ControlBytesReceived)
--- a/internal/connection/peer/send.go
+++ b/internal/connection/peer/send.go
@@ -13,11 +13,11 @@
 		return
 	}
 	l := t.link(vm)
-	if l.self.Load() {
+	if l.isSelf.Load() {
 		t.sendLocal(message)
 		return
 	}
-	if s := l.usable(); s != nil {
+	if s := l.usableSession(); s != nil {
 		s.touch()
 		s.control.add(message)
 		return
@@ -44,7 +44,7 @@
 func (t *Transport) queueOn(l *link, message *peerv1.Control) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := l.usable(); s != nil {
+	if s := l.usableSession(); s != nil {
 		s.control.add(message)
 		return true
 	}
--- a/internal/connection/peer/serve.go
+++ b/internal/connection/peer/serve.go
@@ -106,7 +106,7 @@
 
 // sendResponseBody sends a response and its body on a stream of their own.
 func (s *session) sendResponseBody(ctx context.Context, response *peerv1.Response, body io.Reader) {
-	defer s.holdBody()()
+	defer s.trackBody()()
 	stream, err := s.openBodyStream(streamResponseBody, responseFrame(response))
 	if err != nil {
 		return
--- a/internal/connection/peer/session.go
+++ b/internal/connection/peer/session.go
@@ -43,9 +43,9 @@
 )
 
 var (
-	errSessionLeaving = fault.New(fault.Unavailable, "send again; that opens another session", "the session is closing")
-	errSessionIdle    = fault.New(fault.Unavailable, "send again; that opens another session", "the session was idle and has been closed")
-	errSessionSilent  = fault.New(fault.UnknownOutcome, "check the peer's VM and the network", "the peer no longer answers")
+	errSessionLeaving   = fault.New(fault.Unavailable, "send again; that opens another session", "the session is closing")
+	errSessionIdle      = fault.New(fault.Unavailable, "send again; that opens another session", "the session was idle and has been closed")
+	errPeerUnresponsive = fault.New(fault.UnknownOutcome, "check the peer's VM and the network", "the peer no longer answers")
 )
 
 // sessionState is the state of a session. It only advances, in the order below.
@@ -91,10 +91,10 @@
 	serving map[uint64]context.CancelFunc
 	// bodies counts the bodies that are still being read or written.
 	bodies int
-	// ackLeave is set while a Leave of the peer is still to be acknowledged.
-	ackLeave bool
-	// left is set once the peer has acknowledged the Leave of this side.
-	left bool
+	// leaveAckDue is set while a Leave of the peer is still to be acknowledged.
+	leaveAckDue bool
+	// leaveAcked is set once the peer has acknowledged the Leave of this side.
+	leaveAcked bool
 
 	openedAt time.Duration
 }
@@ -145,11 +145,11 @@
 // starts the goroutines of the session. The dialing side opens the streams, in a
 // fixed order.
 func (s *session) start() (err error) {
-	open := yamux.Server
+	newMux := yamux.Server
 	if s.dialed {
-		open = yamux.Client
+		newMux = yamux.Client
 	}
-	if s.mux, err = open(s.conn, yamuxConfig()); err != nil {
+	if s.mux, err = newMux(s.conn, yamuxConfig()); err != nil {
 		return err
 	}
 	control, err := s.sharedStream(streamControl)
@@ -241,7 +241,7 @@
 	for _, cancel := range serving {
 		cancel()
 	}
-	s.transport.dropped(s, cause)
+	s.transport.onSessionClosed(s, cause)
 }
 
 // usable reports whether new requests may be sent: the session is open and the
@@ -266,8 +266,8 @@
 // touch records that the session is in use.
 func (s *session) touch() { s.usedAt.Store(int64(now())) }
 
-// holdBody counts a body as in transfer until the returned function is called.
-func (s *session) holdBody() func() {
+// trackBody counts a body as in transfer until the returned function is called.
+func (s *session) trackBody() func() {
 	s.mu.Lock()
 	s.bodies++
 	s.mu.Unlock()
@@ -353,10 +353,10 @@
 	s.touch()
 	switch {
 	case kind == streamRequestBody && frame.GetRequest() != nil:
-		body := newBodyReader(reader.in, stream, true, s.holdBody())
+		body := newBodyReader(reader.in, stream, true, s.trackBody())
 		s.serve(frame.GetRequest(), body)
 	case kind == streamResponseBody && frame.GetResponse() != nil:
-		body := newBodyReader(reader.in, stream, false, s.holdBody())
+		body := newBodyReader(reader.in, stream, false, s.trackBody())
 		if !s.complete(frame.GetResponse(), body) {
 			s.transport.stats.unmatched.Add(1)
 			_ = body.Close()
--- a/internal/connection/peer/sessions.go
+++ b/internal/connection/peer/sessions.go
@@ -70,10 +70,10 @@
 	}
 	t.sessions[s] = struct{}{}
 	t.mu.Unlock()
-	byName := t.link(s.peer.VM)
-	byName.adopt(s, t.config.Self.VM)
-	if dialed != nil && dialed != byName {
-		dialed.adopt(byName.current.Load(), t.config.Self.VM)
+	peerLink := t.link(s.peer.VM)
+	peerLink.addSession(s, t.config.Self.VM)
+	if dialed != nil && dialed != peerLink {
+		dialed.addSession(peerLink.current.Load(), t.config.Self.VM)
 	}
 	if s.currentState() == sessionClosed {
 		t.unlink(s)
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// dropped is called once by each session, after it has closed.
-func (t *Transport) dropped(s *session, cause error) {
+// onSessionClosed is called once by each session, after it has closed.
+func (t *Transport) onSessionClosed(s *session, cause error) {
 	t.unlink(s)
 	events.PeerSessionClosed.Log(&t.config.Logger).Str("vm", s.peer.VM).Str("incarnation", s.peer.Incarnation).Str("cause", cause.Error()).Send()
 }
@@ -96,8 +96,8 @@
 	t.mu.Unlock()
 	t.links.Range(func(_, value any) bool {
 		l := value.(*link)
-		if l.holds(s) {
-			l.remove(s)
+		if l.hasSession(s) {
+			l.removeSession(s)
 			t.calls.fail(l.key, errCallLost)
 		}
 		return true
--- a/internal/connection/peer/transport.go
+++ b/internal/connection/peer/transport.go
@@ -23,8 +23,8 @@
 	DefaultIdleTimeout = time.Minute
 	// closeGrace is how long Close waits for requests in flight.
 	closeGrace = 2 * time.Second
-	// acceptRetry is the delay after a failed accept.
-	acceptRetry = 20 * time.Millisecond
+	// acceptRetryDelay is the delay after a failed accept.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
 // Config configures a Transport. Zero values of IdleTimeout and MaxSmallBody
@@ -123,7 +123,7 @@
 			}
 			// For example too many open files: retry, as connections that close
 			// free some.
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if !t.startTask() {
@@ -167,7 +167,7 @@
 	for _, s := range t.allSessions() {
 		s.leave()
 		s.mu.Lock()
-		busy = busy || s.state != sessionClosed && !(s.left && s.quietLocked())
+		busy = busy || s.state != sessionClosed && !(s.leaveAcked && s.drainedLocked())
 		s.mu.Unlock()
 	}
 	return busy
--- a/internal/connection/peer/transport_test.go
+++ b/internal/connection/peer/transport_test.go
@@ -136,7 +136,7 @@
 	response, _, err := a.Do(testContext(t), "b", &peerv1.Request{BodyFollows: true, ContentLength: 1 << 30}, source)
 	assert.NilError(t, err)
 	assert.Equal(t, outcome.FromWire(response.Outcome), outcome.NotRun)
-	eventually(t, "the body's stream is closed", func() bool { return a.bodiesUnderWay() == 0 })
+	eventually(t, "the body's stream is closed", func() bool { return a.openBodies() == 0 })
 	assert.Equal(t, source.reads.Load(), int64(0))
 }
 
@@ -159,7 +159,7 @@
 	assert.Assert(t, sentOf(t, err))
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the handler's context did not end")
 	}
 }
@@ -227,7 +227,7 @@
 
 func TestControlMessages(t *testing.T) {
 	d := &directory{}
-	late := make(chan *peerv1.Control, 1)
+	delayed := make(chan *peerv1.Control, 1)
 	received := make(chan string, 10)
 	var b *Transport
 	a := start(t, d, "a", nil)
@@ -237,7 +237,7 @@
 			case *peerv1.Control_Heartbeat:
 				received <- fmt.Sprintf("%s %s %d", from.VM, from.Incarnation, kind.Heartbeat.Sequence)
 			case *peerv1.Control_Digest:
-				late <- message
+				delayed <- message
 			case *peerv1.Control_PromiseRequest:
 				return &peerv1.Control{Kind: &peerv1.Control_Promise{Promise: &peerv1.Promise{RemainingUs: 7}}}
 			}
@@ -255,7 +255,7 @@
 	assert.Equal(t, reply.GetPromise().RemainingUs, int64(7))
 
 	go func() {
-		message := <-late
+		message := <-delayed
 		b.Send("a", &peerv1.Control{ReplyTo: message.Call, Kind: &peerv1.Control_Error{Error: &peerv1.Error{Reason: "later"}}})
 	}()
 	reply, err = a.Call(testContext(t), "b", &peerv1.Control{Kind: &peerv1.Control_Digest{Digest: &peerv1.Digest{}}})
@@ -289,7 +289,7 @@
 	a := start(t, d, "a", control)
 	start(t, d, "b", control)
 	message := &peerv1.Control{Kind: &peerv1.Control_Heartbeat{Heartbeat: &peerv1.Heartbeat{}}}
-	other, _ := d.of("b")
+	other, _ := d.addressOf("b")
 	a.Send(other, message)
 	assert.Equal(t, <-received, "b")
 	a.Send("b", message)
@@ -303,9 +303,9 @@
 	assert.Equal(t, <-received, "b")
 	eventually(t, "the second session is closed", func() bool { return c.Stats().SessionsOpen == 1 })
 
-	own, _ := d.of("a")
+	own, _ := d.addressOf("a")
 	a.Send(own, message)
-	eventually(t, "the address is known to be this VM's own", func() bool { return a.link(own).self.Load() })
+	eventually(t, "the address is known to be this VM's own", func() bool { return a.link(own).isSelf.Load() })
 	a.Send(own, message)
 	assert.Equal(t, <-received, "a")
 }
@@ -319,7 +319,7 @@
 	assert.ErrorContains(t, err, `belongs to deployment "other"`)
 	assert.Assert(t, !sentOf(t, err))
 
-	address, _ := d.of("b")
+	address, _ := d.addressOf("b")
 	d.set("c", address)
 	_, _, err = a.Do(testContext(t), "c", &peerv1.Request{}, nil)
 	assert.ErrorContains(t, err, `belongs to VM "b"`)
