--- a/internal/connection/peer/leave.go
+++ b/internal/connection/peer/leave.go
@@ -29,23 +29,23 @@
 // check probes the peer if needed, and closes a session whose peer does not
 // answer or that is idle. The monitor calls it at every interval.
 func (s *session) check(at time.Duration) {
-	s.checkSilence(at)
+	s.checkLiveness(at)
 	s.checkIdle(at)
 }
 
-// checkSilence probes a peer that has sent nothing for probeAfter while something
+// checkLiveness probes a peer that has sent nothing for probeAfter while something
 // waits for it, and closes the session if the probe is not answered within
 // failAfter. Any byte from the peer counts as an answer.
-func (s *session) checkSilence(at time.Duration) {
-	probedAt := time.Duration(s.probeAt.Load())
+func (s *session) checkLiveness(at time.Duration) {
+	probedAt := time.Duration(s.probeSentAt.Load())
 	lastRead := s.conn.lastRead()
 	switch {
 	case probedAt != 0 && lastRead >= probedAt:
-		s.probeAt.Store(0)
+		s.probeSentAt.Store(0)
 	case probedAt != 0 && at-probedAt > failAfter:
 		s.spawn(func() { s.fail(errPeerUnresponsive) })
 	case probedAt == 0 && at-lastRead > probeAfter && s.waitsForPeer():
-		s.probeAt.Store(int64(at))
+		s.probeSentAt.Store(int64(at))
 		s.spawn(s.probe)
 	}
 }
@@ -65,7 +65,7 @@
 
 // suspect reports whether a probe has stayed unanswered for too long.
 func (s *session) suspect(at time.Duration) bool {
-	probedAt := time.Duration(s.probeAt.Load())
+	probedAt := time.Duration(s.probeSentAt.Load())
 	allowed := suspectAfter + 2*time.Duration(s.roundTrip.Load())
 	return probedAt != 0 && s.conn.lastRead() < probedAt && at-probedAt > allowed
 }
--- a/internal/connection/peer/session.go
+++ b/internal/connection/peer/session.go
@@ -71,8 +71,8 @@
 	conn     *countedConn
 	requests *gatherWriter
 	control  *controlQueue
-	// probeAt is when an unanswered probe was sent; 0 if there is none.
-	probeAt atomic.Int64
+	// probeSentAt is when an unanswered probe was sent; 0 if there is none.
+	probeSentAt atomic.Int64
 	// roundTrip is the shortest measured round trip time in nanoseconds; 0 before
 	// the first measurement.
 	roundTrip atomic.Int64
--- a/internal/connection/peer/transport_test.go
+++ b/internal/connection/peer/transport_test.go
@@ -76,18 +76,18 @@
 func TestCutRequestBodyNeverLooksWhole(t *testing.T) {
 	d := &directory{}
 	a := start(t, d, "a", nil)
-	seen := make(chan error, 1)
+	readErr := make(chan error, 1)
 	start(t, d, "b", func(c *Config) {
 		c.Requests = serveFunc(func(_ context.Context, _ Peer, _ *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser) {
 			_, err := io.Copy(io.Discard, body)
-			seen <- err
+			readErr <- err
 			return &peerv1.Response{Outcome: outcome.Unknown.Wire()}, nil
 		})
 	})
 	source := io.MultiReader(bytes.NewReader(make([]byte, 100_000)), failingReader{})
 	_, _, err := a.Do(testContext(t), "b", &peerv1.Request{BodyFollows: true, ContentLength: -1}, source)
 	assert.NilError(t, err)
-	assert.ErrorContains(t, <-seen, "ended before its end marker")
+	assert.ErrorContains(t, <-readErr, "ended before its end marker")
 }
 
 func TestCutResponseBodyNeverLooksWhole(t *testing.T) {
