--- a/internal/connection/peer/conn.go
+++ b/internal/connection/peer/conn.go
@@ -25,8 +25,8 @@
 	// lastReadAt is the time of the last read that returned data, in nanoseconds
 	// (see now).
 	lastReadAt atomic.Int64
-	// frameBuffer holds a frame header until its body is written. Only the yamux
-	// session's send goroutine writes, so it needs no lock.
+	// frameBuffer holds the header of a data frame until its body arrives. Only the
+	// send goroutine of the yamux session writes, so it needs no lock.
 	frameBuffer []byte
 }
 
--- a/internal/connection/peer/leave.go
+++ b/internal/connection/peer/leave.go
@@ -63,15 +63,16 @@
 	}
 }
 
-// suspect reports whether a probe has stayed unanswered for too long.
+// suspect reports whether a probe has been unanswered for so long (suspectAfter)
+// that no new requests should be sent to the peer.
 func (s *session) suspect(at time.Duration) bool {
 	probedAt := time.Duration(s.probeSentAt.Load())
 	allowed := suspectAfter + 2*time.Duration(s.roundTrip.Load())
 	return probedAt != 0 && s.conn.lastRead() < probedAt && at-probedAt > allowed
 }
 
-// waitsForPeer reports whether a request, a body or a control call waits for the
-// peer.
+// waitsForPeer reports whether a request, a body or a control call waits for data
+// from the peer.
 func (s *session) waitsForPeer() bool {
 	s.mu.Lock()
 	waits := len(s.pending) > 0 || s.bodies > 0
@@ -81,8 +82,8 @@
 
 // checkIdle leaves a session that has been unused for the idle timeout. It closes
 // a leaving session on which nothing is in flight once the peer has acknowledged
-// the Leave, or leaveTimeout has passed. The accepting side waits half as long
-// again, so that normally the dialing side acts.
+// the Leave, or leaveTimeout has passed. The accepting side uses 1.5 times the
+// idle timeout, so that normally the dialing side acts.
 func (s *session) checkIdle(at time.Duration) {
 	idle := at - time.Duration(s.usedAt.Load())
 	limit := s.transport.config.IdleTimeout
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -19,15 +19,16 @@
 	// frozen daemon the kernel still accepts connections. It leaves time to try
 	// another VM within a second.
 	dialTimeout = 500 * time.Millisecond
-	// redialMin and redialMax bound the backoff after a failed dial.
+	// redialMin and redialMax are the shortest and the longest backoff after a
+	// failed dial, before jitter.
 	redialMin = 50 * time.Millisecond
 	redialMax = 1 * time.Second
 	// linkIdleTimeout is the time after which the link of an unused destination is
 	// removed. VMs are replaced continually and their names are not reused, so
-	// links would accumulate.
+	// links would accumulate otherwise.
 	linkIdleTimeout = 10 * time.Minute
-	// minSessionLifetime is the age below which the loss of a session counts as a failed
-	// dial, so that a peer that closes every session is dialed with backoff.
+	// minSessionLifetime is the age below which the loss of a session counts as a
+	// failed dial, so that a peer that closes every session is dialed with backoff.
 	minSessionLifetime = 1 * time.Second
 	// maxSessionAttempts bounds the sessions that one request tries when the
 	// session that was selected for it starts to close.
@@ -68,14 +69,15 @@
 }
 
 // idle reports whether the link has no session, dial or queued message and has
-// not changed for longer than linkIdle.
+// not changed for longer than linkIdleTimeout.
 func (l *link) idle(at time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.sessions) == 0 && l.dialing == nil && len(l.queue) == 0 && at-l.changedAt > linkIdleTimeout
 }
 
-// usableSession returns the current session if new requests may be sent on it, or nil.
+// usableSession returns the current session if new requests may be sent on it,
+// or nil.
 func (l *link) usableSession() *session {
 	if s := l.current.Load(); s != nil && s.usable() {
 		return s
@@ -83,8 +85,8 @@
 	return nil
 }
 
-// addSession adds an open session to the link, chooses the current session and sends
-// the queued control messages on it. self is the name of this VM.
+// addSession adds an open session to the link, chooses the current session and
+// sends the queued control messages on it. selfVM is the name of this VM.
 func (l *link) addSession(s *session, selfVM string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,9 +127,9 @@
 	}
 }
 
-// removeSession removes a closed session and, if it was the current one, replaces it by
-// another usable one. The loss of a session younger than shortLife counts as a
-// failed dial unless it was closed as idle.
+// removeSession removes a closed session and, if it was the current one, replaces
+// it by another usable one. The loss of a session younger than minSessionLifetime
+// counts as a failed dial unless the session was closed as idle.
 func (l *link) removeSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,7 +169,8 @@
 	return nil
 }
 
-// suspectLocked reports whether the peer of an open session does not answer probes.
+// suspectLocked reports whether the peer of an open session is suspect (see
+// session.suspect).
 func (l *link) suspectLocked() bool {
 	for _, s := range l.sessions {
 		if s.currentState() == sessionOpen && s.suspect(now()) {
@@ -177,7 +180,8 @@
 	return false
 }
 
-// recordFailureLocked records a failed dial and starts the backoff until the next.
+// recordFailureLocked records a failed dial and starts the backoff before the next
+// one.
 func (l *link) recordFailureLocked(cause error) {
 	l.failures++
 	l.lastErr = cause
@@ -223,8 +227,8 @@
 }
 
 // dial starts a dial unless one is in progress, and returns a channel that is
-// closed when the dial has ended. A peer with an open session that does not
-// answer probes is not dialed: the session either recovers or is closed soon.
+// closed when the dial has ended. A suspect peer with an open session is not
+// dialed: the session either recovers or is closed soon.
 func (t *Transport) dial(l *link) (<-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -245,8 +249,9 @@
 	return l.dialing, nil
 }
 
-// runDial opens a session for the link and closes ended. If that fails, it drops
-// the link's queued control messages and fails the calls to its destination.
+// runDial opens a session for the link and closes done. If the dial fails, it
+// drops the queued control messages of the link and fails the calls to its
+// destination.
 func (t *Transport) runDial(l *link, done chan struct{}) {
 	defer t.tasks.Done()
 	s, err := t.dialSession(l.key)
@@ -269,7 +274,7 @@
 }
 
 // redialDelay returns the backoff after a number of failed dials in a row. It
-// grows exponentially from redialMin to redialMax; up to half of it is random.
+// doubles from redialMin up to redialMax; its second half is jitter.
 func redialDelay(failures int) time.Duration {
 	delay := min(redialMin<<min(failures-1, 10), redialMax)
 	return delay/2 + rand.N(delay/2)
--- a/internal/connection/peer/main_test.go
+++ b/internal/connection/peer/main_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds the wait for a condition that must become true. It is generous:
-// tests do not check speed with it.
+// testTimeout bounds the wait for a condition that must become true. It is
+// generous: it is no check of speed.
 const testTimeout = 20 * time.Second
 
 // serveFunc is a function used as RequestHandler.
@@ -95,7 +95,7 @@
 	}
 }
 
-// testContext returns a context that ends after patience, or with the test.
+// testContext returns a context that ends after testTimeout, or with the test.
 func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
--- a/internal/connection/peer/metrics.go
+++ b/internal/connection/peer/metrics.go
@@ -12,7 +12,8 @@
 // statsReporter publishes Stats as metrics: the totals as counters, the open
 // sessions as a gauge.
 type statsReporter struct {
-	scope      tally.Scope
+	scope tally.Scope
+	// reported holds the last published Stats, reportedAt their time (see now).
 	reported   Stats
 	reportedAt time.Duration
 }
--- a/internal/connection/peer/peer.go
+++ b/internal/connection/peer/peer.go
@@ -1,5 +1,5 @@
 // Package peer carries messages between the daemons of a deployment: one yamux
-// session per pair of VMs, opened on use and closed when idle.
+// session per pair of VMs, opened when needed and closed when idle.
 //
 // Small requests and their responses share one long-lived stream. Control
 // messages have another, so that requests do not delay them. A body that is large
@@ -17,7 +17,7 @@
 // with a peer of another version.
 const ProtocolVersion = 1
 
-// Peer identifies the VM at the other end of a session, in one incarnation.
+// Peer identifies one incarnation of a VM.
 type Peer struct {
 	VM          string
 	Incarnation string
--- a/internal/connection/peer/session.go
+++ b/internal/connection/peer/session.go
@@ -71,7 +71,7 @@
 	conn     *countedConn
 	requests *gatherWriter
 	control  *controlQueue
-	// probeSentAt is when an unanswered probe was sent; 0 if there is none.
+	// probeSentAt is when the unanswered probe was sent; 0 if there is none.
 	probeSentAt atomic.Int64
 	// roundTrip is the shortest measured round trip time in nanoseconds; 0 before
 	// the first measurement.
--- a/internal/connection/peer/sessions.go
+++ b/internal/connection/peer/sessions.go
@@ -58,9 +58,9 @@
 	return secured, nil
 }
 
-// register adds an open session to the link of its peer and to dialed, the link
-// that it was dialed for (nil for an accepted session). The two differ if an
-// address was dialed.
+// register adds an open session to the link of its peer. dialed is the link that
+// the session was dialed for, nil for an accepted session; if that is the link of
+// an address, the peer's current session is added to it as well.
 func (t *Transport) register(s *session, dialed *link) error {
 	t.mu.Lock()
 	if t.closing {
--- a/internal/connection/peer/transport.go
+++ b/internal/connection/peer/transport.go
@@ -19,7 +19,7 @@
 const (
 	// DefaultMaxSmallBody is the default of Config.MaxSmallBody in bytes.
 	DefaultMaxSmallBody = 32 << 10
-	// DefaultIdleTimeout is the time after which an unused session is closed.
+	// DefaultIdleTimeout is the default of Config.IdleTimeout.
 	DefaultIdleTimeout = time.Minute
 	// closeGrace is how long Close waits for requests in flight.
 	closeGrace = 2 * time.Second
@@ -134,8 +134,8 @@
 	}
 }
 
-// Close leaves all sessions, waits up to closeGrace for the requests in flight,
-// and closes the listener and all connections. It returns after all goroutines of
+// Close closes the listener, starts the graceful close of all sessions, waits up
+// to closeGrace for the requests in flight, and closes all connections. It returns after all goroutines of
 // the transport have ended.
 func (t *Transport) Close() {
 	t.mu.Lock()
@@ -160,8 +160,8 @@
 	t.workers.stop()
 }
 
-// leaveAll leaves every session; it reports whether requests are still in flight
-// or a peer has not acknowledged yet.
+// leaveAll starts the graceful close of every session. It reports whether requests
+// are still in flight or a peer has not acknowledged the Leave yet.
 func (t *Transport) leaveAll() bool {
 	busy := false
 	for _, s := range t.allSessions() {
