--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -48,8 +48,8 @@
 	// key is a VM name, or an address (host:port) if the name of the VM there is
 	// not known yet.
 	key string
-	// isSelf is set once the address has been found to be this VM's own.
-	isSelf atomic.Bool
+	// isOwnAddress is set once the address has been found to be this VM's own.
+	isOwnAddress atomic.Bool
 	// current is the session that new messages are sent on; nil if there is none.
 	current atomic.Pointer[session]
 
@@ -318,7 +318,7 @@
 func (t *Transport) checkPeer(peer Peer, key, address string) error {
 	switch {
 	case peer == t.config.Self:
-		t.link(key).isSelf.Store(true)
+		t.link(key).isOwnAddress.Store(true)
 		return errSelf
 	case peer.VM == t.config.Self.VM:
 		return fault.New(fault.Refused, "give each VM a name of its own", "the daemon at %s uses this VM's name %q", address, peer.VM)
--- a/internal/connection/peer/send.go
+++ b/internal/connection/peer/send.go
@@ -13,7 +13,7 @@
 		return
 	}
 	l := t.link(vm)
-	if l.isSelf.Load() {
+	if l.isOwnAddress.Load() {
 		t.sendLocal(message)
 		return
 	}
--- a/internal/connection/peer/transport_test.go
+++ b/internal/connection/peer/transport_test.go
@@ -305,7 +305,7 @@
 
 	own, _ := d.addressOf("a")
 	a.Send(own, message)
-	eventually(t, "the address is known to be this VM's own", func() bool { return a.link(own).isSelf.Load() })
+	eventually(t, "the address is known to be this VM's own", func() bool { return a.link(own).isOwnAddress.Load() })
 	a.Send(own, message)
 	assert.Equal(t, <-received, "a")
 }
