--- a/internal/connection/peer/body.go
+++ b/internal/connection/peer/body.go
@@ -13,36 +13,40 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// A body travels as chunks, each with its length in front, on a stream of its
-// own. The end marker, a chunk of length 0, is followed by the total length; a
-// stream that ends without it was cut. The reader opens the flow with one byte
-// on its half of the stream and closes that half when it wants no more.
+// A body is sent on a stream of its own, as chunks that are prefixed with their
+// length. The end marker is a chunk of length 0, followed by the total length; a
+// body whose stream ends without it is truncated. The receiver of a request's
+// body sends one byte to start the transfer. A receiver closes its half of the
+// stream when it stops reading.
 const (
+	// chunkHeaderSize is the size of a chunk's length prefix in bytes.
 	chunkHeaderSize = 4
-	endMarkerSize   = 4 + 8
-	// chunkSize is the largest chunk in bytes.
+	// endMarkerSize is the size of the end marker and the total length in bytes.
+	endMarkerSize = 4 + 8
+	// chunkSize is the maximum payload of a chunk in bytes.
 	chunkSize = 32 << 10
-	// flowByte asks the sender to begin. Until then nothing of the body has
-	// been consumed, so a refused request can be sent elsewhere.
+	// flowByte tells the sender of a request's body to start. The source of the
+	// body is not read before, so a refused request can be sent to another VM.
 	flowByte = 'G'
 )
 
 var (
-	errBodyCut      = fault.New(fault.UnknownOutcome, "treat the transfer as broken", "the body ended before its end marker")
-	errBodyLength   = fault.New(fault.Invalid, "treat the transfer as broken", "the body's length differs from the one in its end marker")
-	errBodyRefused  = fault.New(fault.Unavailable, "act on the response", "the receiver wants no more of the body")
-	errChunkTooLong = fault.New(fault.Invalid, "run daemons of one version", "the peer sent a chunk above %d bytes", chunkSize)
+	errBodyCut      = fault.New(fault.UnknownOutcome, "treat the transfer as failed", "the body ended before its end marker")
+	errBodyLength   = fault.New(fault.Invalid, "treat the transfer as failed", "the body's length differs from the total after its end marker")
+	errBodyRefused  = fault.New(fault.Unavailable, "act on the response", "the receiver stopped reading the body")
+	errChunkTooLong = fault.New(fault.Invalid, "check that both daemons run the same version", "the peer sent a chunk of more than %d bytes", chunkSize)
 )
 
-// pastDeadline wakes readers and writers that are blocked on a stream.
+// pastDeadline is a stream deadline that unblocks pending reads and writes at once.
 var pastDeadline = time.Unix(1, 0)
 
-// chunkPool holds buffers of a chunk with its header.
+// chunkPool holds buffers for one chunk and its header.
 var chunkPool = sync.Pool{New: func() any { b := make([]byte, chunkHeaderSize+chunkSize); return &b }}
 
-// sendBody copies a body to a stream until its end, an error of the source, or
-// the receiver closing its half. Only a complete body gets the end marker. It
-// closes the stream.
+// sendBody copies a body to a stream until the body ends, reading it fails, or
+// the receiver closes its half of the stream. The end marker is written only
+// after a complete body. If waitForFlow is set, nothing is read from the body
+// until the receiver sends flowByte. sendBody closes the stream.
 func sendBody(stream *yamux.Stream, body io.Reader, waitForFlow bool) error {
 	flow, closed := watchReceiver(stream)
 	defer func() {
@@ -60,13 +64,15 @@
 	if err := copyChunks(stream, body, closed); err != nil {
 		return err
 	}
-	// The receiver closes first, so that what it has not read yet stays valid.
+	// Closing the stream before the receiver does could discard data that it has
+	// not read yet.
 	<-closed
 	return nil
 }
 
-// watchReceiver reads the receiver's half of the stream. flow is closed when it
-// asks for the body, closed when it wants no more or the session is lost.
+// watchReceiver reads the receiver's half of the stream. The channel flow is
+// closed when the receiver asks for the body, the channel closed when it stops
+// reading or the session ends.
 func watchReceiver(stream *yamux.Stream) (flow, closed <-chan struct{}) {
 	asked, gone := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -81,7 +87,8 @@
 	return asked, gone
 }
 
-// copyChunks writes the body and its end marker, unless closed is closed before.
+// copyChunks writes the body in chunks, followed by its end marker. It stops with
+// errBodyRefused when closed is closed.
 func copyChunks(stream io.Writer, body io.Reader, closed <-chan struct{}) error {
 	pooled := chunkPool.Get().(*[]byte)
 	defer chunkPool.Put(pooled)
@@ -117,27 +124,31 @@
 	return err
 }
 
-// bodyReader reads a body from its stream. Read returns io.EOF only after the
-// end marker with the right total; any other end is an error.
+// bodyReader reads a body from its stream. Read returns io.EOF only after an end
+// marker whose total matches the bytes received; any other end of the stream is
+// an error.
 type bodyReader struct {
 	in     io.Reader
 	stream *yamux.Stream
-	// askForFlow is set until the first Read of a body that waits for it.
+	// askForFlow is set if the first Read has to send flowByte.
 	askForFlow bool
-	remaining  uint32
-	total      uint64
-	end        error
-	closeOnce  sync.Once
-	onClose    func()
+	// remaining is the unread part of the current chunk in bytes.
+	remaining uint32
+	// total counts the bytes read from the body.
+	total uint64
+	// end is the error that every later Read returns.
+	end       error
+	closeOnce sync.Once
+	onClose   func()
 }
 
-// newBodyReader returns a reader of the chunks in `in`, which buffers stream.
-// onClose runs once, when the body is closed.
+// newBodyReader returns a reader for the body in stream; in reads stream through
+// a buffer. onClose runs once, when the body is closed.
 func newBodyReader(in io.Reader, stream *yamux.Stream, askForFlow bool, onClose func()) *bodyReader {
 	return &bodyReader{in: in, stream: stream, askForFlow: askForFlow, onClose: onClose}
 }
 
-// Read reads a part of the body.
+// Read implements io.Reader. The body is closed after the first error.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	if b.end != nil {
 		return 0, b.end
@@ -154,7 +165,7 @@
 	if b.askForFlow {
 		b.askForFlow = false
 		if _, err := b.stream.Write([]byte{flowByte}); err != nil {
-			return 0, errors.Annotate(err, "cannot ask for the body")
+			return 0, errors.Annotate(err, "cannot request the body")
 		}
 	}
 	if b.remaining == 0 {
@@ -203,8 +214,8 @@
 	return err
 }
 
-// Close tells the sender that no more is wanted. It may run beside a Read and
-// ends it.
+// Close stops the transfer and tells the sender so. It may be called during a
+// Read and unblocks it.
 func (b *bodyReader) Close() error {
 	b.closeOnce.Do(func() {
 		if b.stream != nil {
@@ -218,8 +229,8 @@
 	return nil
 }
 
-// closeWith closes the body when the context ends; the returned function
-// detaches it from the context.
+// closeWith closes the body when the context ends. The returned function detaches
+// the body from the context.
 func (b *bodyReader) closeWith(ctx context.Context) func() bool {
 	return context.AfterFunc(ctx, func() { _ = b.Close() })
 }
--- a/internal/connection/peer/control.go
+++ b/internal/connection/peer/control.go
@@ -9,11 +9,12 @@
 	"github.com/chestnutcourse/chestnutcourse/api/peerv1"
 )
 
-// maxControlQueue bounds the control messages that wait for a peer. Above it
-// the oldest is dropped: a later message of the same kind carries newer state.
+// maxControlQueue is the maximum number of control messages queued for a peer.
+// When the queue is full the oldest is dropped: a later message of the same kind
+// carries newer state.
 const maxControlQueue = 1024
 
-// controlQueue holds control messages for one peer.
+// controlQueue queues the control messages of one session until run writes them.
 type controlQueue struct {
 	mu       sync.Mutex
 	messages []*peerv1.Control
@@ -41,7 +42,8 @@
 	}
 }
 
-// take returns everything queued.
+// take removes and returns all queued messages. open is false once the queue is
+// closed.
 func (q *controlQueue) take() (messages []*peerv1.Control, open bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -49,7 +51,7 @@
 	return messages, !q.closed
 }
 
-// close ends run and returns what was never written.
+// close ends run and returns the messages that were still queued.
 func (q *controlQueue) close() []*peerv1.Control {
 	q.mu.Lock()
 	q.closed = true
@@ -63,7 +65,8 @@
 	return left
 }
 
-// run writes the queued messages until the output fails or the queue is closed.
+// run writes the queued messages until a write fails or the queue is closed. It
+// adds the bytes written to sent.
 func (q *controlQueue) run(out io.Writer, sent *atomic.Int64) error {
 	var buffer []byte
 	for range q.wake {
@@ -94,13 +97,14 @@
 	return nil
 }
 
-// firstCalls is the number of call numbers from which a process draws its first: too
-// many for two processes of a VM to meet, in few bytes.
+// firstCalls is the range from which a process draws its first call number. It is
+// large enough that two processes of a VM do not use the same numbers, and small
+// enough for a short varint.
 const firstCalls = 1 << 48
 
-// calls holds the control calls that wait for a reply, by call number. Numbers
-// are those of one process, so a reply finds its call on whatever session it comes,
-// and one to a former process of this VM finds none.
+// calls holds the control calls that wait for a reply, by call number. The numbers
+// belong to this process, not to a session: a reply is matched on whichever session
+// it arrives, and a reply to a previous process of this VM matches no call.
 type calls struct {
 	mu      sync.Mutex
 	last    uint64
@@ -121,7 +125,7 @@
 	return &calls{last: rand.Uint64N(firstCalls), waiting: make(map[uint64]*controlCall)}
 }
 
-// begin numbers a new call to a peer.
+// begin registers a new call to a peer and returns its number.
 func (c *calls) begin(vm string) (uint64, *controlCall) {
 	call := &controlCall{vm: vm, reply: make(chan callResult, 1)}
 	c.mu.Lock()
@@ -131,7 +135,7 @@
 	return c.last, call
 }
 
-// end removes a call; nil if it has ended before.
+// end removes and returns a call; nil if it has already ended.
 func (c *calls) end(number uint64) *controlCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +144,7 @@
 	return call
 }
 
-// complete hands a reply to its call and reports whether anybody waited for it.
+// complete passes a reply to its call and reports whether the call still waited.
 func (c *calls) complete(reply *peerv1.Control) bool {
 	call := c.end(reply.ReplyTo)
 	if call == nil {
@@ -150,7 +154,7 @@
 	return true
 }
 
-// fail ends every call to a peer.
+// fail ends all calls to a peer with an error.
 func (c *calls) fail(vm string, cause error) {
 	c.mu.Lock()
 	var lost []*controlCall
@@ -166,7 +170,7 @@
 	}
 }
 
-// waitingFor reports whether a call to the peer is under way.
+// waitingFor reports whether a call to the peer waits for a reply.
 func (c *calls) waitingFor(vm string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/connection/peer/do.go
+++ b/internal/connection/peer/do.go
@@ -10,10 +10,11 @@
 	"github.com/chestnutcourse/chestnutcourse/api/peerv1"
 )
 
-// Do implements RequestSender. It sets request.Id, so a request must not be
-// shared by calls that run at once. The body is read only after the dispatcher
-// has asked for it; it may still be read after Do has returned, until the
-// context ends or the dispatcher closes it.
+// Do implements RequestSender. It sets request.Id, so concurrent calls must not
+// share a request. A body of known length up to MaxSmallBody is read at once.
+// Any other body for another VM is read only after its dispatcher has asked for
+// it, and may still be read after Do has returned, until the context ends or the
+// dispatcher closes the body.
 func (t *Transport) Do(ctx context.Context, vm string, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser, error) {
 	if t.isSelf(vm) {
 		return t.doLocal(ctx, request, body)
@@ -28,8 +29,8 @@
 	return s.do(ctx, p, request, body)
 }
 
-// place registers a request on a session to a VM. A session that begins to
-// close at the same moment is replaced by another.
+// place registers a request on a session to a VM. If the session has begun to
+// close meanwhile, it tries another.
 func (t *Transport) place(ctx context.Context, vm string, request *peerv1.Request) (*session, *pending, error) {
 	for range maxSessionAttempts {
 		s, err := t.sessionTo(ctx, vm)
@@ -44,7 +45,7 @@
 	return nil, nil, errSessionLeaving
 }
 
-// doLocal serves a request of the own VM without a session.
+// doLocal serves a request to the own VM without a session.
 func (t *Transport) doLocal(ctx context.Context, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser, error) {
 	request.Id = t.localID.Add(1)
 	response, out := t.config.Requests.Serve(ctx, t.config.Self, request, body)
@@ -55,7 +56,8 @@
 	return checkResponse(request, response, out), out, nil
 }
 
-// inlineRequestBody reads a body of known and small length into the request.
+// inlineRequestBody reads a body of known length up to limit bytes into the
+// request, so that it needs no stream of its own.
 func inlineRequestBody(request *peerv1.Request, body io.Reader, limit int) error {
 	if !request.BodyFollows || request.ContentLength < 0 || request.ContentLength > int64(limit) {
 		return nil
@@ -68,7 +70,8 @@
 	return nil
 }
 
-// do sends what register has not, and waits for the response.
+// do sends a registered request that has a stream of its own (register has queued
+// any other), and waits for the response.
 func (s *session) do(ctx context.Context, p *pending, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser, error) {
 	if p.ownStream {
 		if sent, err := s.sendRequestBody(ctx, request, body); err != nil {
@@ -84,7 +87,7 @@
 	}
 }
 
-// finish turns a result into what Do returns.
+// finish converts a result into the return values of Do.
 func (s *session) finish(ctx context.Context, r result) (*peerv1.Response, io.ReadCloser, error) {
 	if r.lost != nil {
 		return nil, nil, &SendError{VM: s.peer.VM, Sent: r.sent, Cause: r.lost}
@@ -98,10 +101,10 @@
 	return r.response, newBoundBody(ctx, r.body.(*bodyReader)), nil
 }
 
-// withdraw ends a request whose context has ended.
+// withdraw removes a request whose context has ended and cancels it on the peer.
 func (s *session) withdraw(ctx context.Context, p *pending) (*peerv1.Response, io.ReadCloser, error) {
 	if s.forget(p.id) == nil {
-		// The result came at the same time; its body must not be left open.
+		// The result arrived concurrently; its body has to be closed.
 		if r := <-p.done; r.body != nil {
 			_ = r.body.Close()
 		}
@@ -111,8 +114,9 @@
 	return nil, nil, &SendError{VM: s.peer.VM, Sent: true, Cause: context.Cause(ctx)}
 }
 
-// sendRequestBody opens the stream of a request with a body and starts to send
-// it. sent reports whether a byte of the request may have reached the peer.
+// sendRequestBody opens a stream for a request with a body, writes the request and
+// starts to send the body in the background. sent reports whether a byte of the
+// request may have reached the peer.
 func (s *session) sendRequestBody(ctx context.Context, request *peerv1.Request, body io.Reader) (sent bool, err error) {
 	if !s.transport.startTask() {
 		return false, errClosed
@@ -139,8 +143,8 @@
 	return true, nil
 }
 
-// openBodyStream opens a stream and writes its head in one write. The stream is
-// returned with an error if a part of the head may have been sent.
+// openBodyStream opens a stream and writes its kind and head in one write. On an
+// error the stream is non-nil if a part of the head may have been sent.
 func (s *session) openBodyStream(kind byte, head *peerv1.RequestFrame) (*yamux.Stream, error) {
 	frame, err := appendFrame([]byte{kind}, head)
 	if err != nil {
@@ -161,7 +165,7 @@
 	return &peerv1.RequestFrame{Kind: &peerv1.RequestFrame_Cancel{Cancel: &peerv1.Cancel{Id: id}}}
 }
 
-// boundBody is a response's body that also ends with the context of its request.
+// boundBody is a response's body that is closed when the context of its request ends.
 type boundBody struct {
 	*bodyReader
 	unbind func() bool
@@ -171,7 +175,7 @@
 	return &boundBody{bodyReader: body, unbind: body.closeWith(ctx)}
 }
 
-// Close closes the body.
+// Close detaches the body from the context and closes it.
 func (b *boundBody) Close() error {
 	b.unbind()
 	return b.bodyReader.Close()
--- a/internal/connection/peer/frame.go
+++ b/internal/connection/peer/frame.go
@@ -10,11 +10,11 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// maxFrame bounds a message on a stream, in bytes. A larger length prefix means
-// that the peer does not speak this protocol.
+// maxFrame is the maximum size of an encoded message in bytes. A larger length
+// prefix means that the peer does not speak this protocol.
 const maxFrame = 2 << 20
 
-// appendFrame appends a message with its length in front, as a varint.
+// appendFrame appends a message, prefixed with its length as a varint.
 func appendFrame(buffer []byte, message proto.Message) ([]byte, error) {
 	size := proto.Size(message)
 	if size > maxFrame {
@@ -25,8 +25,8 @@
 	return proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(buffer, message)
 }
 
-// frameReader reads length-delimited messages. Its buffer is reused, so a
-// message must not keep references to it; protobuf copies what it keeps.
+// frameReader reads length-delimited messages. Its buffer is reused, so a decoded
+// message must not refer to it; protobuf copies the data that it keeps.
 type frameReader struct {
 	in     *bufio.Reader
 	buffer []byte
@@ -57,7 +57,7 @@
 	return int(size), nil
 }
 
-// bytes returns the next size bytes, valid until the next call.
+// bytes returns the next size bytes. They are valid until the next call.
 func (r *frameReader) bytes(size int) ([]byte, error) {
 	if size <= r.in.Size() {
 		frame, err := r.in.Peek(size)
@@ -78,8 +78,8 @@
 	return frame, noEOF(err)
 }
 
-// noEOF turns the end of a stream inside a message into an error of its own, so
-// that a cut message never looks like a clean end.
+// noEOF replaces io.EOF by io.ErrUnexpectedEOF, so that a truncated message is not
+// taken for the regular end of a stream.
 func noEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -87,5 +87,5 @@
 	return err
 }
 
-// keptBuffer is the largest buffer in bytes that is kept for reuse.
+// keptBuffer is the capacity in bytes above which a buffer is not kept for reuse.
 const keptBuffer = 64 << 10
--- a/internal/connection/peer/gather.go
+++ b/internal/connection/peer/gather.go
@@ -9,29 +9,31 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// maxGathered bounds the bytes that wait for a stream. Above it new requests
-// are refused as not sent.
+// maxGathered is the maximum number of bytes queued for a stream. Messages above
+// it are refused with errQueueFull; no byte of them is sent.
 const maxGathered = 8 << 20
 
 var (
-	errQueueFull    = fault.New(fault.Unavailable, "add VMs or lower the load", "the queue to the peer is full")
-	errWriterClosed = fault.New(fault.Unavailable, "send again; that opens another session", "the session is closed")
+	errQueueFull    = fault.New(fault.Unavailable, "add VMs or reduce the load", "the send queue to the peer is full")
+	errWriterClosed = fault.New(fault.Unavailable, "send the request again; it will use a new session", "the session is closed")
 )
 
 // framePool holds buffers in which messages are encoded before they are queued.
 var framePool = sync.Pool{New: func() any { return new([]byte) }}
 
-// gatherWriter queues frames and writes all that have gathered in one write.
+// gatherWriter queues frames and writes all queued frames in one write.
 //
-// Positions count the bytes of the stream. A frame whose position is not below
-// handed() when the writer has ended was never given to the connection.
+// The position of a frame is its byte offset in the stream. Once the writer is
+// closed, a frame was never passed to the connection if its position is equal to
+// or above handed().
 type gatherWriter struct {
 	mu     sync.Mutex
 	queued []byte
-	spare  []byte
-	// end is the position after the last queued byte, taken the position after
-	// the last byte given to the connection.
-	end    uint64
+	// spare is a written buffer that take reuses; nil if there is none.
+	spare []byte
+	// end is the position after the last queued byte.
+	end uint64
+	// taken is the position after the last byte passed to the connection.
 	taken  uint64
 	closed bool
 	wake   chan struct{}
@@ -81,7 +83,7 @@
 	}
 }
 
-// run writes until the output fails or close is called.
+// run writes the queued frames until a write fails or close is called.
 func (w *gatherWriter) run(out io.Writer) error {
 	defer w.close()
 	for range w.wake {
@@ -100,7 +102,8 @@
 	return nil
 }
 
-// take returns everything queued and counts it as handed to the connection.
+// take removes and returns all queued bytes and counts them as passed to the
+// connection. It reports false once the writer is closed.
 func (w *gatherWriter) take() ([]byte, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,7 +116,7 @@
 	return chunk, true
 }
 
-// giveBack returns a written buffer for reuse, unless a burst has made it large.
+// giveBack keeps a written buffer for reuse unless a burst has made it too large.
 func (w *gatherWriter) giveBack(chunk []byte) {
 	if cap(chunk) > keptBuffer {
 		return
@@ -125,15 +128,15 @@
 	w.mu.Unlock()
 }
 
-// handed returns the position up to which bytes were given to the connection.
-// Once the writer is closed the value is final.
+// handed returns the position up to which bytes were passed to the connection.
+// The value is final once the writer is closed.
 func (w *gatherWriter) handed() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.taken
 }
 
-// close ends run; what is still queued is never written.
+// close ends run; bytes that are still queued are never written.
 func (w *gatherWriter) close() {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/connection/peer/pending.go
+++ b/internal/connection/peer/pending.go
@@ -6,28 +6,31 @@
 	"github.com/chestnutcourse/chestnutcourse/api/peerv1"
 )
 
-// pending is a request under way on a session.
+// pending is a request on a session that waits for its response.
 type pending struct {
 	id uint64
-	// position is the request's position on the shared stream; ownStream is set
-	// when it travels at the head of its body's stream instead.
+	// position is the request's byte offset in the shared request stream. It is
+	// unused if ownStream is set: such a request is sent on the stream of its body.
 	position  uint64
 	ownStream bool
-	// done receives the one result.
+	// done receives the result, exactly once.
 	done chan result
 }
 
-// result ends a pending request: a response, or the loss of the session.
+// result is the outcome of a pending request: a response, or the error that ended
+// the session.
 type result struct {
 	response *peerv1.Response
 	body     io.ReadCloser
 	lost     error
-	// sent is set with lost if a byte of the request may have reached the peer.
+	// sent is meaningful only with lost. It is set if a byte of the request may
+	// have reached the peer.
 	sent bool
 }
 
-// register adds a request and queues its frame. An error means that no byte of
-// it was or will be sent.
+// register adds a request to the pending ones and queues its frame, unless its
+// body follows: do sends such a request on a stream of its own. On an error no
+// byte of the request was or will be sent.
 func (s *session) register(request *peerv1.Request) (*pending, error) {
 	s.touch()
 	p := &pending{done: make(chan result, 1)}
@@ -52,8 +55,8 @@
 	return p, nil
 }
 
-// complete hands a response to the request that waits for it. It reports false
-// for a response that nobody waits for: late, doubled or crossed.
+// complete passes a response to its pending request. It reports false if there is
+// none: the response is late, a duplicate, or has an unknown id.
 func (s *session) complete(response *peerv1.Response, body io.ReadCloser) bool {
 	p := s.forget(response.Id)
 	if p == nil {
@@ -63,7 +66,7 @@
 	return true
 }
 
-// forget removes a request; nil if it is no longer pending.
+// forget removes and returns a request; nil if it is no longer pending.
 func (s *session) forget(id uint64) *pending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +76,7 @@
 	return p
 }
 
-// failPending ends every pending request after the loss of the session.
+// failPending ends all pending requests after the session was closed.
 func (s *session) failPending(cause error) {
 	s.mu.Lock()
 	lost := s.pending
--- a/internal/connection/peer/send.go
+++ b/internal/connection/peer/send.go
@@ -25,7 +25,8 @@
 	t.sendWhenOpen(l, message)
 }
 
-// sendWhenOpen keeps a message until a session to the peer is open.
+// sendWhenOpen sends a message on another usable session, or queues it and opens
+// a session. The queue is dropped if no session can be opened.
 func (t *Transport) sendWhenOpen(l *link, message *peerv1.Control) {
 	if s := l.reselect(); s != nil {
 		s.control.add(message)
@@ -39,8 +40,8 @@
 	}
 }
 
-// queueOn keeps a message for the next session. It reports true if a session
-// has opened meanwhile and took the message.
+// queueOn queues a message for the next session. If a session has opened
+// meanwhile, it sends the message there and reports true.
 func (t *Transport) queueOn(l *link, message *peerv1.Control) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,6 +57,7 @@
 	return false
 }
 
+// dropQueue drops the queued messages unless a dial is in progress.
 func (t *Transport) dropQueue(l *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,15 +94,15 @@
 	}
 }
 
-// sendLocal delivers a message of the own VM to its own handler.
+// sendLocal delivers a message to the own VM, and the reply to the caller.
 func (t *Transport) sendLocal(message *peerv1.Control) {
 	if reply := t.receiveControl(t.config.Self, message); reply != nil {
 		t.receiveControl(t.config.Self, reply)
 	}
 }
 
-// receiveControl hands a message to the call that waits for it or to the
-// handler, and returns the handler's reply.
+// receiveControl passes a reply to the call that waits for it, and any other
+// message to the handler. It returns the handler's reply; nil if there is none.
 func (t *Transport) receiveControl(from Peer, message *peerv1.Control) *peerv1.Control {
 	if message.ReplyTo != 0 {
 		if !t.calls.complete(message) {
--- a/internal/connection/peer/serve.go
+++ b/internal/connection/peer/serve.go
@@ -11,7 +11,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/request/outcome"
 )
 
-// serve starts the handler for a request of the peer.
+// serve runs the handler for a request of the peer on a worker. A request that
+// cannot be admitted is refused at once.
 func (s *session) serve(request *peerv1.Request, body *bodyReader) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if refusal := s.admit(request, cancel); refusal != nil {
@@ -23,7 +24,8 @@
 	s.transport.workers.run(func() { s.handle(ctx, cancel, request, body) })
 }
 
-// admit records a request as served. It returns the refusal of one that cannot be.
+// admit records a request as being served. If that is not possible, it returns the
+// response that refuses the request.
 func (s *session) admit(request *peerv1.Request, cancel context.CancelFunc) *peerv1.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +42,7 @@
 	return nil
 }
 
-// handle runs the handler and sends its response.
+// handle runs the handler for a request and sends the response.
 func (s *session) handle(ctx context.Context, cancel context.CancelFunc, request *peerv1.Request, body *bodyReader) {
 	defer cancel()
 	defer s.endServing(request.Id)
@@ -63,8 +65,9 @@
 	s.reply(response)
 }
 
-// checkResponse makes sure that a response belongs to its request and says
-// truly whether a body follows. Anything else ends as unknown.
+// checkResponse returns the response with the id of its request. A response that
+// is missing, belongs to another request, or announces a body that is missing is
+// replaced by one with an unknown outcome.
 func checkResponse(request *peerv1.Request, response *peerv1.Response, body io.Reader) *peerv1.Response {
 	if response == nil || response.Id != 0 && response.Id != request.Id || response.BodyFollows && body == nil {
 		return brokenResponse(request.Id)
@@ -73,8 +76,9 @@
 	return response
 }
 
-// inlineSmallBody reads a body of known and small length into the response, which
-// saves a stream of its own. A body that is cut makes the outcome unknown.
+// inlineSmallBody reads a body of known length up to limit bytes into the
+// response, so that it needs no stream of its own. If the body's length is not the
+// announced one or it cannot be read, the response gets an unknown outcome.
 func inlineSmallBody(response *peerv1.Response, body io.Reader, limit int) {
 	if !response.BodyFollows || response.ContentLength < 0 || response.ContentLength > int64(limit) {
 		return
@@ -89,14 +93,14 @@
 	response.Body, response.BodyFollows = content, false
 }
 
-var errLength = fault.New(fault.Invalid, "treat the transfer as broken", "the body's length differs from the announced length")
+var errLength = fault.New(fault.Invalid, "treat the transfer as failed", "the body's length differs from the announced length")
 
-// readExactly reads a body that must have the given length in bytes.
+// readExactly reads a body. Its length must be exactly the given number of bytes.
 func readExactly(body io.Reader, length int64) ([]byte, error) {
 	content := make([]byte, length+1)
 	n, err := io.ReadFull(body, content)
 	if err != io.ErrUnexpectedEOF && err != io.EOF {
-		return nil, errors.Annotate(errLength, "body is too long or broken")
+		return nil, errors.Annotate(errLength, "the body is longer than announced or cannot be read")
 	}
 	if int64(n) != length {
 		return nil, errLength
@@ -104,7 +108,8 @@
 	return content[:length:length], nil
 }
 
-// sendResponseBody sends a response and its body on a stream of their own.
+// sendResponseBody sends a response and its body on a new stream. It returns when
+// the transfer has ended.
 func (s *session) sendResponseBody(ctx context.Context, response *peerv1.Response, body io.Reader) {
 	defer s.trackBody()()
 	stream, err := s.openBodyStream(streamResponseBody, responseFrame(response))
@@ -121,8 +126,9 @@
 	}
 }
 
-// reply queues a response. If the queue is full the session is of no more use
-// to the peer, who would wait for ever: it is closed.
+// reply queues a response. If the queue is full it closes the session, because the
+// peer would wait for the dropped response for ever. A response that cannot be
+// encoded is replaced by one with an unknown outcome.
 func (s *session) reply(response *peerv1.Response) {
 	_, err := s.requests.add(responseFrame(response))
 	switch errors.Cause(err) {
@@ -144,7 +150,7 @@
 	s.touch()
 }
 
-// cancelServing ends the context of a request that the peer has withdrawn.
+// cancelServing cancels the context of a request that the peer has canceled.
 func (s *session) cancelServing(id uint64) {
 	s.mu.Lock()
 	cancel := s.serving[id]
@@ -160,20 +166,22 @@
 	}
 }
 
-// refusal is the response to a request that was not run.
+// refusal returns the response to a request that was not run.
 func refusal(id uint64, reason outcome.Reason) *peerv1.Response {
 	return &peerv1.Response{Id: id, Outcome: outcome.NotRun.Wire(), Reason: string(reason)}
 }
 
-// brokenResponse stands for a response that cannot be passed on.
+// brokenResponse returns the response, of unknown outcome, that replaces one that
+// cannot be sent.
 func brokenResponse(id uint64) *peerv1.Response {
 	return &peerv1.Response{Id: id, Outcome: outcome.Unknown.Wire(), Reason: string(outcome.TargetBroken)}
 }
 
-// refuseAll is the RequestHandler of a VM that dispatches to no target.
+// refuseAll is the RequestHandler of a VM that dispatches to no target. It refuses
+// every request.
 type refuseAll struct{}
 
-// Serve refuses the request.
+// Serve implements RequestHandler.
 func (refuseAll) Serve(_ context.Context, _ Peer, request *peerv1.Request, _ io.Reader) (*peerv1.Response, io.ReadCloser) {
 	return refusal(request.Id, outcome.NotOwner), nil
 }
--- a/internal/connection/peer/workers.go
+++ b/internal/connection/peer/workers.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// maxIdleWorkers bounds the goroutines that wait for a request to serve.
+	// maxIdleWorkers is the maximum number of goroutines kept for later requests.
 	maxIdleWorkers = 128
-	// workerIdle is how long an idle worker lives.
+	// workerIdle is the time after which an idle worker ends.
 	workerIdle = 10 * time.Second
 )
 
-// workers runs requests on goroutines that are used again, so that a request
-// does not have to grow the stack of a fresh one.
+// workers runs tasks on reused goroutines. A new goroutine would have to grow its
+// stack for each request.
 type workers struct {
 	mu      sync.Mutex
-	idle    []*worker // the most recently used last
+	idle    []*worker // ordered by usedAt, oldest first
 	stopped bool
 	total   sync.WaitGroup
 }
 
-// worker is one goroutine; it takes its next task from its own channel.
+// worker is one goroutine of the pool. It receives its tasks on a channel of its own.
 type worker struct {
 	tasks  chan func()
-	usedAt time.Duration
+	usedAt time.Duration // when the worker became idle, on the clock of now
 }
 
-// run starts a task at once, on an idle worker if there is one. It must not be
-// called beside or after stop.
+// run starts a task without delay: on an idle worker, or on a new one if there is
+// none. It must not be called during or after stop.
 func (p *workers) run(task func()) {
 	p.mu.Lock()
 	if last := len(p.idle) - 1; last >= 0 {
@@ -45,7 +45,8 @@
 	p.total.Go(func() { p.work(w) })
 }
 
-// work runs the tasks of one worker until it is no longer needed.
+// work runs the tasks of one worker until its channel is closed or it cannot be
+// parked.
 func (p *workers) work(w *worker) {
 	for task := range w.tasks {
 		task()
@@ -55,7 +56,8 @@
 	}
 }
 
-// park puts a worker among the idle ones unless there are enough.
+// park adds a worker to the idle ones. It reports false if the pool is stopped or
+// already has enough idle workers.
 func (p *workers) park(w *worker) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +69,8 @@
 	return true
 }
 
-// trim ends workers that have been idle for long; the oldest come first.
+// trim ends the workers that have been idle for longer than workerIdle. at is the
+// current time of now.
 func (p *workers) trim(at time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +82,7 @@
 	p.idle = append(p.idle[:0], p.idle[old:]...)
 }
 
-// stop ends all idle workers and waits for the busy ones.
+// stop ends all idle workers and waits until the busy ones have finished.
 func (p *workers) stop() {
 	p.mu.Lock()
 	p.stopped = true
