--- a/internal/connection/peer/bench_test.go
+++ b/internal/connection/peer/bench_test.go
@@ -16,14 +16,15 @@
 	"github.com/chestnutcourse/chestnutcourse/api/peerv1"
 )
 
-// benchCallers is the number of callers at once; messageSize the body in bytes.
 const (
+	// benchCallers is the number of concurrent callers.
 	benchCallers = 40
-	messageSize  = 64
+	// messageSize is the size of a request's body in bytes.
+	messageSize = 64
 )
 
-// BenchmarkRoundTrip compares the ways in which a small request can travel. Both
-// ends run in this process, so "cpu-us/op" covers both.
+// BenchmarkRoundTrip compares ways to send a small request. Both ends run in this
+// process, so "cpu-us/op" covers both.
 func BenchmarkRoundTrip(b *testing.B) {
 	content := bytes.Repeat([]byte("x"), messageSize)
 	b.Run("shared stream", func(b *testing.B) {
@@ -52,7 +53,7 @@
 	})
 }
 
-// measure runs a call from many callers and reports the CPU that it takes.
+// measure runs b.N calls from benchCallers goroutines and reports the CPU time per call.
 func measure(b *testing.B, call func() error) {
 	if err := call(); err != nil {
 		b.Fatal(err)
@@ -79,6 +80,7 @@
 	b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/1000/float64(b.N), "cpu-us/op")
 }
 
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -87,6 +89,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
+// startPair starts VMs "a" and "b" and returns the Transport of "a".
 func startPair(b *testing.B) *Transport {
 	d := &directory{}
 	a := start(b, d, "a", nil)
@@ -94,7 +97,7 @@
 	return a
 }
 
-// startPlainYamux returns a session whose other end echoes each stream.
+// startPlainYamux returns a yamux session whose other end echoes each stream.
 func startPlainYamux(b *testing.B) *yamux.Session {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
--- a/internal/connection/peer/control_test.go
+++ b/internal/connection/peer/control_test.go
@@ -8,7 +8,8 @@
 	"github.com/chestnutcourse/chestnutcourse/api/peerv1"
 )
 
-// TestReplyToAFormerProcessAnswersNoCall: a reply that waited for the VM's return must not pass for the answer to another question.
+// TestReplyToAFormerProcessAnswersNoCall checks that a reply to a call of a VM's previous process, which
+// arrives after the restart, does not complete a call of the new process.
 func TestReplyToAFormerProcessAnswersNoCall(t *testing.T) {
 	former, present := newCalls(), newCalls()
 	for range 9 {
--- a/internal/connection/peer/hostile_test.go
+++ b/internal/connection/peer/hostile_test.go
@@ -23,14 +23,15 @@
 	_ "github.com/chestnutcourse/chestnutcourse/internal/testutil/seed"
 )
 
-// rawPeer is a listener that speaks the protocol by hand, so that it can break it.
+// rawPeer is the remote end of a session without a Transport, so that a test can
+// violate the protocol.
 type rawPeer struct {
 	requests *yamux.Stream
 	reader   *frameReader
 	mux      *yamux.Session
 }
 
-// startRawPeer accepts one session as VM "b" and hands it to serve.
+// startRawPeer accepts one session as VM "b" and passes it to serve.
 func startRawPeer(t *testing.T, d *directory, serve func(*rawPeer)) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -64,7 +65,7 @@
 	})
 }
 
-// next returns the next request.
+// next returns the next request; nil if reading fails.
 func (p *rawPeer) next(t *testing.T) *peerv1.Request {
 	for {
 		frame := &peerv1.RequestFrame{}
@@ -87,8 +88,8 @@
 	return &peerv1.Response{Id: id, Outcome: outcome.Answered.Wire(), Status: 200, Body: []byte(body), ContentLength: int64(len(body))}
 }
 
-// TestDoubledLateAndUnknownResponses makes sure that only the first response to
-// a pending request counts.
+// TestDoubledLateAndUnknownResponses checks that a duplicate, a late response and
+// one with an unknown id are counted as unmatched and do not complete another request.
 func TestDoubledLateAndUnknownResponses(t *testing.T) {
 	d := &directory{}
 	withdrawn := make(chan struct{})
@@ -121,8 +122,8 @@
 	assert.Equal(t, a.Stats().Unmatched, int64(4))
 }
 
-// TestResponseThatPromisesABodyOnTheSharedStream covers a response whose body
-// can never come.
+// TestResponseThatPromisesABodyOnTheSharedStream checks that a request fails if its
+// response on the shared stream announces a body, which cannot follow there.
 func TestResponseThatPromisesABodyOnTheSharedStream(t *testing.T) {
 	d := &directory{}
 	startRawPeer(t, d, func(p *rawPeer) {
@@ -135,7 +136,8 @@
 	assert.Assert(t, sentOf(t, err))
 }
 
-// TestGarbageEndsTheSession covers bytes that are no messages.
+// TestGarbageEndsTheSession checks that bytes which are not a valid message end the
+// session and with it the pending request.
 func TestGarbageEndsTheSession(t *testing.T) {
 	garbage := map[string][]byte{
 		"length above the limit": binary.AppendUvarint(nil, maxFrame+1),
@@ -175,8 +177,8 @@
 	return leaveFrame(rapid.Bool().Draw(t, "accepted"))
 }
 
-// TestFramesSurviveAnySplit reads frames from a stream that returns its bytes in
-// arbitrary parts, and cut at an arbitrary place.
+// TestFramesSurviveAnySplit reads frames from a stream that is truncated at an
+// arbitrary place and may return one byte at a time.
 func TestFramesSurviveAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		frames := rapid.SliceOfN(rapid.Custom(drawFrame), 1, 5).Draw(t, "frames")
@@ -202,7 +204,7 @@
 				if cut == start {
 					assert.Equal(t, err, io.EOF)
 				} else {
-					assert.Equal(t, err, io.ErrUnexpectedEOF, "a cut frame looked like the end")
+					assert.Equal(t, err, io.ErrUnexpectedEOF, "a truncated frame was taken for the end of the stream")
 				}
 				return
 			}
@@ -213,8 +215,8 @@
 	})
 }
 
-// TestBodiesSurviveAnySplit reads a body from its chunks, cut at an arbitrary
-// place or with one byte of the framing changed.
+// TestBodiesSurviveAnySplit reads a body from its chunks, which may be truncated at
+// an arbitrary place.
 func TestBodiesSurviveAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		content := rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(t, "start")
@@ -229,7 +231,7 @@
 		body := newBodyReader(bufio.NewReader(bytes.NewReader(whole[:cut])), nil, false, nil)
 		got, err := io.ReadAll(body)
 		if cut < len(whole) {
-			assert.Assert(t, err != nil, "a body cut at %d of %d looked whole", cut, len(whole))
+			assert.Assert(t, err != nil, "a body truncated at byte %d of %d was accepted as complete", cut, len(whole))
 			return
 		}
 		assert.NilError(t, err)
@@ -246,8 +248,8 @@
 	assert.ErrorIs(t, err, errBodyLength)
 }
 
-// FuzzFrames feeds arbitrary bytes to the reader of frames: it must return an
-// error or a message, and never more than the bytes contain.
+// FuzzFrames passes arbitrary bytes to a frameReader. It must return messages or an
+// error, and its messages must not have more bytes than the input.
 func FuzzFrames(f *testing.F) {
 	for _, frame := range []*peerv1.RequestFrame{requestFrame(&peerv1.Request{Id: 1, Key: "k"}), cancelFrame(7), leaveFrame(true)} {
 		encoded, err := appendFrame(nil, frame)
@@ -265,7 +267,7 @@
 				return
 			}
 			if total += size + 1; total > len(content) {
-				t.Fatalf("%d bytes of messages from %d bytes", total, len(content))
+				t.Fatalf("read messages of %d bytes from %d bytes of input", total, len(content))
 			}
 		}
 	})
