--- a/internal/connection/peer/body.go
+++ b/internal/connection/peer/body.go
@@ -25,16 +25,16 @@
 	endMarkerSize = 4 + 8
 	// chunkSize is the maximum payload of a chunk in bytes.
 	chunkSize = 32 << 10
-	// flowByte tells the sender of a request's body to start. The source of the
+	// goAheadByte tells the sender of a request's body to start. The source of the
 	// body is not read before, so a refused request can be sent to another VM.
-	flowByte = 'G'
+	goAheadByte = 'G'
 )
 
 var (
-	errBodyCut      = fault.New(fault.UnknownOutcome, "treat the transfer as failed", "the body ended before its end marker")
-	errBodyLength   = fault.New(fault.Invalid, "treat the transfer as failed", "the body's length differs from the total after its end marker")
-	errBodyRefused  = fault.New(fault.Unavailable, "act on the response", "the receiver stopped reading the body")
-	errChunkTooLong = fault.New(fault.Invalid, "check that both daemons run the same version", "the peer sent a chunk of more than %d bytes", chunkSize)
+	errBodyTruncated = fault.New(fault.UnknownOutcome, "treat the transfer as failed", "the body ended before its end marker")
+	errBodyLength    = fault.New(fault.Invalid, "treat the transfer as failed", "the body's length differs from the total after its end marker")
+	errBodyRefused   = fault.New(fault.Unavailable, "act on the response", "the receiver stopped reading the body")
+	errChunkTooLong  = fault.New(fault.Invalid, "check that both daemons run the same version", "the peer sent a chunk of more than %d bytes", chunkSize)
 )
 
 // pastDeadline is a stream deadline that unblocks pending reads and writes at once.
@@ -47,16 +47,16 @@
 // the receiver closes its half of the stream. The end marker is written only
 // after a complete body. If waitForFlow is set, nothing is read from the body
 // until the receiver sends flowByte. sendBody closes the stream.
-func sendBody(stream *yamux.Stream, body io.Reader, waitForFlow bool) error {
-	flow, closed := watchReceiver(stream)
+func sendBody(stream *yamux.Stream, body io.Reader, waitForGoAhead bool) error {
+	goAhead, closed := watchReceiver(stream)
 	defer func() {
 		_ = stream.Close()
 		_ = stream.SetReadDeadline(pastDeadline)
 		<-closed
 	}()
-	if waitForFlow {
+	if waitForGoAhead {
 		select {
-		case <-flow:
+		case <-goAhead:
 		case <-closed:
 			return errBodyRefused
 		}
@@ -73,18 +73,18 @@
 // watchReceiver reads the receiver's half of the stream. The channel flow is
 // closed when the receiver asks for the body, the channel closed when it stops
 // reading or the session ends.
-func watchReceiver(stream *yamux.Stream) (flow, closed <-chan struct{}) {
-	asked, gone := make(chan struct{}), make(chan struct{})
+func watchReceiver(stream *yamux.Stream) (goAhead, closed <-chan struct{}) {
+	goAheadSeen, receiverClosed := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(receiverClosed)
 		var one [1]byte
 		if _, err := io.ReadFull(stream, one[:]); err == nil {
-			close(asked)
+			close(goAheadSeen)
 			_, _ = io.ReadFull(stream, one[:])
 		}
 		_ = stream.SetWriteDeadline(pastDeadline)
 	}()
-	return asked, gone
+	return goAheadSeen, receiverClosed
 }
 
 // copyChunks writes the body in chunks, followed by its end marker. It stops with
@@ -109,7 +109,7 @@
 			total += uint64(n)
 		}
 		if err == io.EOF {
-			return writeEnd(stream, total)
+			return writeEndMarker(stream, total)
 		}
 		if err != nil {
 			return err
@@ -117,7 +117,7 @@
 	}
 }
 
-func writeEnd(stream io.Writer, total uint64) error {
+func writeEndMarker(stream io.Writer, total uint64) error {
 	var end [endMarkerSize]byte
 	binary.BigEndian.PutUint64(end[chunkHeaderSize:], total)
 	_, err := stream.Write(end[:])
@@ -130,41 +130,41 @@
 type bodyReader struct {
 	in     io.Reader
 	stream *yamux.Stream
-	// askForFlow is set if the first Read has to send flowByte.
-	askForFlow bool
+	// sendGoAhead is set if the first Read has to send flowByte.
+	sendGoAhead bool
 	// remaining is the unread part of the current chunk in bytes.
 	remaining uint32
 	// total counts the bytes read from the body.
 	total uint64
-	// end is the error that every later Read returns.
-	end       error
+	// err is the error that every later Read returns.
+	err       error
 	closeOnce sync.Once
 	onClose   func()
 }
 
 // newBodyReader returns a reader for the body in stream; in reads stream through
 // a buffer. onClose runs once, when the body is closed.
-func newBodyReader(in io.Reader, stream *yamux.Stream, askForFlow bool, onClose func()) *bodyReader {
-	return &bodyReader{in: in, stream: stream, askForFlow: askForFlow, onClose: onClose}
+func newBodyReader(in io.Reader, stream *yamux.Stream, sendGoAhead bool, onClose func()) *bodyReader {
+	return &bodyReader{in: in, stream: stream, sendGoAhead: sendGoAhead, onClose: onClose}
 }
 
 // Read implements io.Reader. The body is closed after the first error.
 func (b *bodyReader) Read(p []byte) (int, error) {
-	if b.end != nil {
-		return 0, b.end
+	if b.err != nil {
+		return 0, b.err
 	}
 	n, err := b.read(p)
 	if err != nil {
-		b.end = err
+		b.err = err
 		_ = b.Close()
 	}
 	return n, err
 }
 
 func (b *bodyReader) read(p []byte) (int, error) {
-	if b.askForFlow {
-		b.askForFlow = false
-		if _, err := b.stream.Write([]byte{flowByte}); err != nil {
+	if b.sendGoAhead {
+		b.sendGoAhead = false
+		if _, err := b.stream.Write([]byte{goAheadByte}); err != nil {
 			return 0, errors.Annotate(err, "cannot request the body")
 		}
 	}
@@ -180,7 +180,7 @@
 	b.remaining -= uint32(n)
 	b.total += uint64(n)
 	if err == io.EOF {
-		err = errBodyCut
+		err = errBodyTruncated
 	}
 	return n, err
 }
@@ -188,7 +188,7 @@
 func (b *bodyReader) nextChunk() error {
 	var header [chunkHeaderSize]byte
 	if _, err := io.ReadFull(b.in, header[:]); err != nil {
-		return cutBody(err)
+		return truncatedOnEOF(err)
 	}
 	b.remaining = binary.BigEndian.Uint32(header[:])
 	if b.remaining > chunkSize {
@@ -199,7 +199,7 @@
 	}
 	var total [endMarkerSize - chunkHeaderSize]byte
 	if _, err := io.ReadFull(b.in, total[:]); err != nil {
-		return cutBody(err)
+		return truncatedOnEOF(err)
 	}
 	if binary.BigEndian.Uint64(total[:]) != b.total {
 		return errBodyLength
@@ -207,9 +207,9 @@
 	return io.EOF
 }
 
-func cutBody(err error) error {
+func truncatedOnEOF(err error) error {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return errBodyCut
+		return errBodyTruncated
 	}
 	return err
 }
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// closeWith closes the body when the context ends. The returned function detaches
+// closeOnDone closes the body when the context ends. The returned function detaches
 // the body from the context.
-func (b *bodyReader) closeWith(ctx context.Context) func() bool {
+func (b *bodyReader) closeOnDone(ctx context.Context) func() bool {
 	return context.AfterFunc(ctx, func() { _ = b.Close() })
 }
--- a/internal/connection/peer/do.go
+++ b/internal/connection/peer/do.go
@@ -94,7 +94,7 @@
 	}
 	if r.body == nil {
 		if r.response.BodyFollows {
-			return nil, nil, &SendError{VM: s.peer.VM, Sent: true, Cause: errBodyCut}
+			return nil, nil, &SendError{VM: s.peer.VM, Sent: true, Cause: errBodyTruncated}
 		}
 		return r.response, nil, nil
 	}
@@ -172,7 +172,7 @@
 }
 
 func newBoundBody(ctx context.Context, body *bodyReader) *boundBody {
-	return &boundBody{bodyReader: body, unbind: body.closeWith(ctx)}
+	return &boundBody{bodyReader: body, unbind: body.closeOnDone(ctx)}
 }
 
 // Close detaches the body from the context and closes it.
--- a/internal/connection/peer/serve.go
+++ b/internal/connection/peer/serve.go
@@ -49,7 +49,7 @@
 	defer closeBody(body)
 	var in io.Reader
 	if body != nil {
-		defer body.closeWith(ctx)()
+		defer body.closeOnDone(ctx)()
 		in = body
 	}
 	response, out := s.transport.config.Requests.Serve(ctx, s.peer, request, in)
