--- a/internal/connection/peer/control.go
+++ b/internal/connection/peer/control.go
@@ -19,12 +19,12 @@
 	mu       sync.Mutex
 	messages []*peerv1.Control
 	closed   bool
-	wake     chan struct{}
+	notify   chan struct{}
 	dropped  *atomic.Int64
 }
 
 func newControlQueue(dropped *atomic.Int64) *controlQueue {
-	return &controlQueue{wake: make(chan struct{}, 1), dropped: dropped}
+	return &controlQueue{notify: make(chan struct{}, 1), dropped: dropped}
 }
 
 // add queues a message, dropping the oldest if the queue is full.
@@ -37,14 +37,14 @@
 	q.messages = append(q.messages, message)
 	q.mu.Unlock()
 	select {
-	case q.wake <- struct{}{}:
+	case q.notify <- struct{}{}:
 	default:
 	}
 }
 
-// take removes and returns all queued messages. open is false once the queue is
+// takeAll removes and returns all queued messages. open is false once the queue is
 // closed.
-func (q *controlQueue) take() (messages []*peerv1.Control, open bool) {
+func (q *controlQueue) takeAll() (messages []*peerv1.Control, open bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	messages, q.messages = q.messages, nil
@@ -55,22 +55,22 @@
 func (q *controlQueue) close() []*peerv1.Control {
 	q.mu.Lock()
 	q.closed = true
-	left := q.messages
+	unsent := q.messages
 	q.messages = nil
 	q.mu.Unlock()
 	select {
-	case q.wake <- struct{}{}:
+	case q.notify <- struct{}{}:
 	default:
 	}
-	return left
+	return unsent
 }
 
 // run writes the queued messages until a write fails or the queue is closed. It
 // adds the bytes written to sent.
 func (q *controlQueue) run(out io.Writer, sent *atomic.Int64) error {
 	var buffer []byte
-	for range q.wake {
-		messages, open := q.take()
+	for range q.notify {
+		messages, open := q.takeAll()
 		if !open {
 			return errWriterClosed
 		}
@@ -97,18 +97,18 @@
 	return nil
 }
 
-// firstCalls is the range from which a process draws its first call number. It is
+// firstCallRange is the range from which a process draws its first call number. It is
 // large enough that two processes of a VM do not use the same numbers, and small
 // enough for a short varint.
-const firstCalls = 1 << 48
+const firstCallRange = 1 << 48
 
-// calls holds the control calls that wait for a reply, by call number. The numbers
+// pendingCalls holds the control pendingCalls that wait for a reply, by call number. The numbers
 // belong to this process, not to a session: a reply is matched on whichever session
 // it arrives, and a reply to a previous process of this VM matches no call.
-type calls struct {
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]*controlCall
+type pendingCalls struct {
+	mu         sync.Mutex
+	lastNumber uint64
+	waiting    map[uint64]*controlCall
 }
 
 type controlCall struct {
@@ -121,22 +121,22 @@
 	err   error
 }
 
-func newCalls() *calls {
-	return &calls{last: rand.Uint64N(firstCalls), waiting: make(map[uint64]*controlCall)}
+func newPendingCalls() *pendingCalls {
+	return &pendingCalls{lastNumber: rand.Uint64N(firstCallRange), waiting: make(map[uint64]*controlCall)}
 }
 
 // begin registers a new call to a peer and returns its number.
-func (c *calls) begin(vm string) (uint64, *controlCall) {
+func (c *pendingCalls) begin(vm string) (uint64, *controlCall) {
 	call := &controlCall{vm: vm, reply: make(chan callResult, 1)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last++
-	c.waiting[c.last] = call
-	return c.last, call
+	c.lastNumber++
+	c.waiting[c.lastNumber] = call
+	return c.lastNumber, call
 }
 
 // end removes and returns a call; nil if it has already ended.
-func (c *calls) end(number uint64) *controlCall {
+func (c *pendingCalls) end(number uint64) *controlCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	call := c.waiting[number]
@@ -145,7 +145,7 @@
 }
 
 // complete passes a reply to its call and reports whether the call still waited.
-func (c *calls) complete(reply *peerv1.Control) bool {
+func (c *pendingCalls) complete(reply *peerv1.Control) bool {
 	call := c.end(reply.ReplyTo)
 	if call == nil {
 		return false
@@ -155,23 +155,23 @@
 }
 
 // fail ends all calls to a peer with an error.
-func (c *calls) fail(vm string, cause error) {
+func (c *pendingCalls) fail(vm string, cause error) {
 	c.mu.Lock()
-	var lost []*controlCall
+	var failed []*controlCall
 	for number, call := range c.waiting {
 		if call.vm == vm {
-			lost = append(lost, call)
+			failed = append(failed, call)
 			delete(c.waiting, number)
 		}
 	}
 	c.mu.Unlock()
-	for _, call := range lost {
+	for _, call := range failed {
 		call.reply <- callResult{err: cause}
 	}
 }
 
-// waitingFor reports whether a call to the peer waits for a reply.
-func (c *calls) waitingFor(vm string) bool {
+// hasCallTo reports whether a call to the peer waits for a reply.
+func (c *pendingCalls) hasCallTo(vm string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, call := range c.waiting {
--- a/internal/connection/peer/control_test.go
+++ b/internal/connection/peer/control_test.go
@@ -11,7 +11,7 @@
 // TestReplyToAFormerProcessAnswersNoCall checks that a reply to a call of a VM's previous process, which
 // arrives after the restart, does not complete a call of the new process.
 func TestReplyToAFormerProcessAnswersNoCall(t *testing.T) {
-	former, present := newCalls(), newCalls()
+	former, present := newPendingCalls(), newPendingCalls()
 	for range 9 {
 		present.begin("b")
 	}
--- a/internal/connection/peer/do.go
+++ b/internal/connection/peer/do.go
@@ -22,16 +22,16 @@
 	if err := inlineRequestBody(request, body, t.config.MaxSmallBody); err != nil {
 		return nil, nil, &SendError{VM: vm, Cause: err}
 	}
-	s, p, err := t.place(ctx, vm, request)
+	s, p, err := t.registerRequest(ctx, vm, request)
 	if err != nil {
 		return nil, nil, &SendError{VM: vm, Cause: err}
 	}
 	return s.do(ctx, p, request, body)
 }
 
-// place registers a request on a session to a VM. If the session has begun to
+// registerRequest registers a request on a session to a VM. If the session has begun to
 // close meanwhile, it tries another.
-func (t *Transport) place(ctx context.Context, vm string, request *peerv1.Request) (*session, *pending, error) {
+func (t *Transport) registerRequest(ctx context.Context, vm string, request *peerv1.Request) (*session, *pendingRequest, error) {
 	for range maxSessionAttempts {
 		s, err := t.sessionTo(ctx, vm)
 		if err != nil {
@@ -72,10 +72,10 @@
 
 // do sends a registered request that has a stream of its own (register has queued
 // any other), and waits for the response.
-func (s *session) do(ctx context.Context, p *pending, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser, error) {
+func (s *session) do(ctx context.Context, p *pendingRequest, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser, error) {
 	if p.ownStream {
-		if sent, err := s.sendRequestBody(ctx, request, body); err != nil {
-			s.forget(p.id)
+		if sent, err := s.sendRequestWithBody(ctx, request, body); err != nil {
+			s.removePending(p.id)
 			return nil, nil, &SendError{VM: s.peer.VM, Sent: sent, Cause: err}
 		}
 	}
@@ -83,14 +83,14 @@
 	case r := <-p.done:
 		return s.finish(ctx, r)
 	case <-ctx.Done():
-		return s.withdraw(ctx, p)
+		return s.cancelPending(ctx, p)
 	}
 }
 
 // finish converts a result into the return values of Do.
 func (s *session) finish(ctx context.Context, r result) (*peerv1.Response, io.ReadCloser, error) {
-	if r.lost != nil {
-		return nil, nil, &SendError{VM: s.peer.VM, Sent: r.sent, Cause: r.lost}
+	if r.err != nil {
+		return nil, nil, &SendError{VM: s.peer.VM, Sent: r.sent, Cause: r.err}
 	}
 	if r.body == nil {
 		if r.response.BodyFollows {
@@ -101,9 +101,9 @@
 	return r.response, newBoundBody(ctx, r.body.(*bodyReader)), nil
 }
 
-// withdraw removes a request whose context has ended and cancels it on the peer.
-func (s *session) withdraw(ctx context.Context, p *pending) (*peerv1.Response, io.ReadCloser, error) {
-	if s.forget(p.id) == nil {
+// cancelPending removes a request whose context has ended and cancels it on the peer.
+func (s *session) cancelPending(ctx context.Context, p *pendingRequest) (*peerv1.Response, io.ReadCloser, error) {
+	if s.removePending(p.id) == nil {
 		// The result arrived concurrently; its body has to be closed.
 		if r := <-p.done; r.body != nil {
 			_ = r.body.Close()
@@ -114,10 +114,10 @@
 	return nil, nil, &SendError{VM: s.peer.VM, Sent: true, Cause: context.Cause(ctx)}
 }
 
-// sendRequestBody opens a stream for a request with a body, writes the request and
+// sendRequestWithBody opens a stream for a request with a body, writes the request and
 // starts to send the body in the background. sent reports whether a byte of the
 // request may have reached the peer.
-func (s *session) sendRequestBody(ctx context.Context, request *peerv1.Request, body io.Reader) (sent bool, err error) {
+func (s *session) sendRequestWithBody(ctx context.Context, request *peerv1.Request, body io.Reader) (sent bool, err error) {
 	if !s.transport.startTask() {
 		return false, errClosed
 	}
--- a/internal/connection/peer/leave.go
+++ b/internal/connection/peer/leave.go
@@ -77,7 +77,7 @@
 	s.mu.Lock()
 	waits := len(s.pending) > 0 || s.bodies > 0
 	s.mu.Unlock()
-	return waits || s.transport.calls.waitingFor(s.peer.VM)
+	return waits || s.transport.calls.hasCallTo(s.peer.VM)
 }
 
 // checkIdle leaves a session that has been unused for the idle timeout. It closes
--- a/internal/connection/peer/lifetime_test.go
+++ b/internal/connection/peer/lifetime_test.go
@@ -257,7 +257,7 @@
 	for call := range uint64(maxControlQueue + 3) {
 		q.add(&peerv1.Control{Call: call})
 	}
-	messages, _ := q.take()
+	messages, _ := q.takeAll()
 	assert.Equal(t, len(messages), maxControlQueue)
 	assert.Equal(t, messages[0].Call, uint64(3))
 	assert.Equal(t, dropped.Load(), int64(3))
--- a/internal/connection/peer/pending.go
+++ b/internal/connection/peer/pending.go
@@ -6,8 +6,8 @@
 	"github.com/chestnutcourse/chestnutcourse/api/peerv1"
 )
 
-// pending is a request on a session that waits for its response.
-type pending struct {
+// pendingRequest is a request on a session that waits for its response.
+type pendingRequest struct {
 	id uint64
 	// position is the request's byte offset in the shared request stream. It is
 	// unused if ownStream is set: such a request is sent on the stream of its body.
@@ -22,7 +22,7 @@
 type result struct {
 	response *peerv1.Response
 	body     io.ReadCloser
-	lost     error
+	err      error
 	// sent is meaningful only with lost. It is set if a byte of the request may
 	// have reached the peer.
 	sent bool
@@ -31,9 +31,9 @@
 // register adds a request to the pending ones and queues its frame, unless its
 // body follows: do sends such a request on a stream of its own. On an error no
 // byte of the request was or will be sent.
-func (s *session) register(request *peerv1.Request) (*pending, error) {
+func (s *session) register(request *peerv1.Request) (*pendingRequest, error) {
 	s.touch()
-	p := &pending{done: make(chan result, 1)}
+	p := &pendingRequest{done: make(chan result, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state != sessionOpen {
@@ -58,7 +58,7 @@
 // complete passes a response to its pending request. It reports false if there is
 // none: the response is late, a duplicate, or has an unknown id.
 func (s *session) complete(response *peerv1.Response, body io.ReadCloser) bool {
-	p := s.forget(response.Id)
+	p := s.removePending(response.Id)
 	if p == nil {
 		return false
 	}
@@ -66,8 +66,8 @@
 	return true
 }
 
-// forget removes and returns a request; nil if it is no longer pending.
-func (s *session) forget(id uint64) *pending {
+// removePending removes and returns a request; nil if it is no longer pending.
+func (s *session) removePending(id uint64) *pendingRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pending[id]
@@ -79,12 +79,12 @@
 // failPending ends all pending requests after the session was closed.
 func (s *session) failPending(cause error) {
 	s.mu.Lock()
-	lost := s.pending
+	failed := s.pending
 	s.pending = nil
 	s.mu.Unlock()
 	handed := s.requests.handed()
-	for _, p := range lost {
-		p.done <- result{lost: cause, sent: p.ownStream || p.position < handed}
+	for _, p := range failed {
+		p.done <- result{err: cause, sent: p.ownStream || p.position < handed}
 	}
 }
 
--- a/internal/connection/peer/send.go
+++ b/internal/connection/peer/send.go
@@ -22,17 +22,17 @@
 		s.control.add(message)
 		return
 	}
-	t.sendWhenOpen(l, message)
+	t.sendOrQueue(l, message)
 }
 
-// sendWhenOpen sends a message on another usable session, or queues it and opens
+// sendOrQueue sends a message on another usable session, or queues it and opens
 // a session. The queue is dropped if no session can be opened.
-func (t *Transport) sendWhenOpen(l *link, message *peerv1.Control) {
+func (t *Transport) sendOrQueue(l *link, message *peerv1.Control) {
 	if s := l.reselect(); s != nil {
 		s.control.add(message)
 		return
 	}
-	if t.queueOn(l, message) {
+	if t.queueControl(l, message) {
 		return
 	}
 	if _, err := t.dial(l); err != nil {
@@ -40,9 +40,9 @@
 	}
 }
 
-// queueOn queues a message for the next session. If a session has opened
+// queueControl queues a message for the next session. If a session has opened
 // meanwhile, it sends the message there and reports true.
-func (t *Transport) queueOn(l *link, message *peerv1.Control) bool {
+func (t *Transport) queueControl(l *link, message *peerv1.Control) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.usableSession(); s != nil {
--- a/internal/connection/peer/serve.go
+++ b/internal/connection/peer/serve.go
@@ -29,14 +29,14 @@
 func (s *session) admit(request *peerv1.Request, cancel context.CancelFunc) *peerv1.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, doubled := s.serving[request.Id]
+	_, duplicate := s.serving[request.Id]
 	switch {
 	case s.serving == nil:
-		return refusal(request.Id, outcome.PeerLost)
-	case doubled:
-		return refusal(request.Id, outcome.BadRequest)
+		return refusedResponse(request.Id, outcome.PeerLost)
+	case duplicate:
+		return refusedResponse(request.Id, outcome.BadRequest)
 	case len(s.serving) >= maxServing:
-		return refusal(request.Id, outcome.QueueFull)
+		return refusedResponse(request.Id, outcome.QueueFull)
 	}
 	s.serving[request.Id] = cancel
 	return nil
@@ -93,17 +93,17 @@
 	response.Body, response.BodyFollows = content, false
 }
 
-var errLength = fault.New(fault.Invalid, "treat the transfer as failed", "the body's length differs from the announced length")
+var errContentLength = fault.New(fault.Invalid, "treat the transfer as failed", "the body's length differs from the announced length")
 
 // readExactly reads a body. Its length must be exactly the given number of bytes.
 func readExactly(body io.Reader, length int64) ([]byte, error) {
 	content := make([]byte, length+1)
 	n, err := io.ReadFull(body, content)
 	if err != io.ErrUnexpectedEOF && err != io.EOF {
-		return nil, errors.Annotate(errLength, "the body is longer than announced or cannot be read")
+		return nil, errors.Annotate(errContentLength, "the body is longer than announced or cannot be read")
 	}
 	if int64(n) != length {
-		return nil, errLength
+		return nil, errContentLength
 	}
 	return content[:length:length], nil
 }
@@ -166,8 +166,8 @@
 	}
 }
 
-// refusal returns the response to a request that was not run.
-func refusal(id uint64, reason outcome.Reason) *peerv1.Response {
+// refusedResponse returns the response to a request that was not run.
+func refusedResponse(id uint64, reason outcome.Reason) *peerv1.Response {
 	return &peerv1.Response{Id: id, Outcome: outcome.NotRun.Wire(), Reason: string(reason)}
 }
 
@@ -183,5 +183,5 @@
 
 // Serve implements RequestHandler.
 func (refuseAll) Serve(_ context.Context, _ Peer, request *peerv1.Request, _ io.Reader) (*peerv1.Response, io.ReadCloser) {
-	return refusal(request.Id, outcome.NotOwner), nil
+	return refusedResponse(request.Id, outcome.NotOwner), nil
 }
--- a/internal/connection/peer/session.go
+++ b/internal/connection/peer/session.go
@@ -87,7 +87,7 @@
 	nextID uint64
 	// pending holds the requests to the peer that await a response, serving the
 	// requests of the peer that are being handled, both by request ID.
-	pending map[uint64]*pending
+	pending map[uint64]*pendingRequest
 	serving map[uint64]context.CancelFunc
 	// bodies counts the bodies that are still being read or written.
 	bodies int
@@ -129,7 +129,7 @@
 		conn:     newCountedConn(conn, &t.stats.bytesSent, &t.stats.bytesReceived),
 		requests: newGatherWriter(),
 		control:  newControlQueue(&t.stats.controlDropped),
-		pending:  make(map[uint64]*pending),
+		pending:  make(map[uint64]*pendingRequest),
 		serving:  make(map[uint64]context.CancelFunc),
 		openedAt: now(),
 	}
--- a/internal/connection/peer/transport.go
+++ b/internal/connection/peer/transport.go
@@ -60,7 +60,7 @@
 type Transport struct {
 	config Config
 	stats  counters
-	calls  *calls
+	calls  *pendingCalls
 	// localID is the ID of the last request that this VM sent to itself.
 	localID atomic.Uint64
 	workers workers
@@ -98,7 +98,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
-		config: config, calls: newCalls(), ctx: ctx, cancel: cancel,
+		config: config, calls: newPendingCalls(), ctx: ctx, cancel: cancel,
 		sessions: make(map[*session]struct{}),
 	}
 }
--- a/internal/connection/peer/transport_test.go
+++ b/internal/connection/peer/transport_test.go
@@ -129,7 +129,7 @@
 	a := start(t, d, "a", nil)
 	start(t, d, "b", func(c *Config) {
 		c.Requests = serveFunc(func(context.Context, Peer, *peerv1.Request, io.Reader) (*peerv1.Response, io.ReadCloser) {
-			return refusal(0, outcome.QueueFull), nil
+			return refusedResponse(0, outcome.QueueFull), nil
 		})
 	})
 	source := &countingReader{}
@@ -149,7 +149,7 @@
 			close(began)
 			<-ctx.Done()
 			close(ended)
-			return refusal(0, outcome.Canceled), nil
+			return refusedResponse(0, outcome.Canceled), nil
 		})
 	})
 	ctx, cancel := context.WithCancel(testContext(t))
@@ -216,7 +216,7 @@
 		c.Requests = serveFunc(func(ctx context.Context, _ Peer, _ *peerv1.Request, _ io.Reader) (*peerv1.Response, io.ReadCloser) {
 			close(began)
 			<-ctx.Done()
-			return refusal(0, outcome.Canceled), nil
+			return refusedResponse(0, outcome.Canceled), nil
 		})
 	})
 	go func() { <-began; b.stop() }()
