--- a/internal/connection/peer/conn.go
+++ b/internal/connection/peer/conn.go
@@ -62,7 +62,7 @@
 	c.frameBuffer = append(c.frameBuffer, p...)
 	_, err := c.write(c.frameBuffer)
 	c.frameBuffer = c.frameBuffer[:0]
-	if cap(c.frameBuffer) > keptBuffer {
+	if cap(c.frameBuffer) > maxReusedBuffer {
 		c.frameBuffer = nil
 	}
 	if err != nil {
--- a/internal/connection/peer/control.go
+++ b/internal/connection/peer/control.go
@@ -90,7 +90,7 @@
 			return err
 		}
 		sent.Add(int64(len(buffer)))
-		if cap(buffer) > keptBuffer {
+		if cap(buffer) > maxReusedBuffer {
 			buffer = nil
 		}
 	}
--- a/internal/connection/peer/frame.go
+++ b/internal/connection/peer/frame.go
@@ -72,7 +72,7 @@
 	}
 	frame := r.buffer[:size]
 	_, err := io.ReadFull(r.in, frame)
-	if cap(r.buffer) > keptBuffer {
+	if cap(r.buffer) > maxReusedBuffer {
 		r.buffer = nil
 	}
 	return frame, noEOF(err)
@@ -87,5 +87,5 @@
 	return err
 }
 
-// keptBuffer is the capacity in bytes above which a buffer is not kept for reuse.
-const keptBuffer = 64 << 10
+// maxReusedBuffer is the capacity in bytes above which a buffer is not kept for reuse.
+const maxReusedBuffer = 64 << 10
--- a/internal/connection/peer/lifetime_test.go
+++ b/internal/connection/peer/lifetime_test.go
@@ -224,24 +224,24 @@
 // TestFrameNeverWrittenIsNotSent checks what SendError.Sent is derived from: a
 // frame that was still queued when the writer was closed counts as not sent.
 func TestFrameNeverWrittenIsNotSent(t *testing.T) {
-	w := newGatherWriter()
+	w := newBatchWriter()
 	first, err := w.add(&peerv1.Request{Uri: "/first"})
 	assert.NilError(t, err)
-	chunk, open := w.take()
+	chunk, open := w.takeAll()
 	assert.Assert(t, open && len(chunk) > 0)
 	second, err := w.add(&peerv1.Request{Uri: "/second"})
 	assert.NilError(t, err)
 	w.close()
-	assert.Assert(t, first < w.handed())
-	assert.Assert(t, second >= w.handed())
-	_, open = w.take()
+	assert.Assert(t, first < w.takenPosition())
+	assert.Assert(t, second >= w.takenPosition())
+	_, open = w.takeAll()
 	assert.Assert(t, !open, "a closed writer returns no more bytes")
 	_, err = w.add(&peerv1.Request{})
 	assert.ErrorIs(t, err, errWriterClosed)
 }
 
 func TestFullRequestQueueRefuses(t *testing.T) {
-	w := newGatherWriter()
+	w := newBatchWriter()
 	request := &peerv1.Request{Body: make([]byte, 1<<20)}
 	for range 7 {
 		_, err := w.add(request)
--- a/internal/connection/peer/pending.go
+++ b/internal/connection/peer/pending.go
@@ -82,9 +82,9 @@
 	failed := s.pending
 	s.pending = nil
 	s.mu.Unlock()
-	handed := s.requests.handed()
+	taken := s.requests.takenPosition()
 	for _, p := range failed {
-		p.done <- result{err: cause, sent: p.ownStream || p.position < handed}
+		p.done <- result{err: cause, sent: p.ownStream || p.position < taken}
 	}
 }
 
--- a/internal/connection/peer/session.go
+++ b/internal/connection/peer/session.go
@@ -69,7 +69,7 @@
 	dialed   bool
 	mux      *yamux.Session
 	conn     *countedConn
-	requests *gatherWriter
+	requests *batchWriter
 	control  *controlQueue
 	// probeSentAt is when the unanswered probe was sent; 0 if there is none.
 	probeSentAt atomic.Int64
@@ -127,7 +127,7 @@
 	s := &session{
 		transport: t, peer: peer, dialed: dialed,
 		conn:     newCountedConn(conn, &t.stats.bytesSent, &t.stats.bytesReceived),
-		requests: newGatherWriter(),
+		requests: newBatchWriter(),
 		control:  newControlQueue(&t.stats.controlDropped),
 		pending:  make(map[uint64]*pendingRequest),
 		serving:  make(map[uint64]context.CancelFunc),
--- a/internal/connection/peer/transport.go
+++ b/internal/connection/peer/transport.go
@@ -63,7 +63,7 @@
 	calls  *pendingCalls
 	// localID is the ID of the last request that this VM sent to itself.
 	localID atomic.Uint64
-	workers workers
+	workers workerPool
 
 	// ctx ends when the transport stops. tasks counts its goroutines, except
 	// those of workers.
--- a/internal/connection/peer/workers.go
+++ b/internal/connection/peer/workers.go
@@ -8,28 +8,28 @@
 const (
 	// maxIdleWorkers is the maximum number of goroutines kept for later requests.
 	maxIdleWorkers = 128
-	// workerIdle is the time after which an idle worker ends.
-	workerIdle = 10 * time.Second
+	// workerIdleTimeout is the time after which an idle worker ends.
+	workerIdleTimeout = 10 * time.Second
 )
 
-// workers runs tasks on reused goroutines. A new goroutine would have to grow its
+// workerPool runs tasks on reused goroutines. A new goroutine would have to grow its
 // stack for each request.
-type workers struct {
+type workerPool struct {
 	mu      sync.Mutex
 	idle    []*worker // ordered by usedAt, oldest first
 	stopped bool
-	total   sync.WaitGroup
+	running sync.WaitGroup
 }
 
 // worker is one goroutine of the pool. It receives its tasks on a channel of its own.
 type worker struct {
-	tasks  chan func()
-	usedAt time.Duration // when the worker became idle, on the clock of now
+	tasks     chan func()
+	idleSince time.Duration // when the worker became idle, on the clock of now
 }
 
 // run starts a task without delay: on an idle worker, or on a new one if there is
 // none. It must not be called during or after stop.
-func (p *workers) run(task func()) {
+func (p *workerPool) run(task func()) {
 	p.mu.Lock()
 	if last := len(p.idle) - 1; last >= 0 {
 		w := p.idle[last]
@@ -42,12 +42,12 @@
 	p.mu.Unlock()
 	w := &worker{tasks: make(chan func(), 1)}
 	w.tasks <- task
-	p.total.Go(func() { p.work(w) })
+	p.running.Go(func() { p.runWorker(w) })
 }
 
-// work runs the tasks of one worker until its channel is closed or it cannot be
+// runWorker runs the tasks of one worker until its channel is closed or it cannot be
 // parked.
-func (p *workers) work(w *worker) {
+func (p *workerPool) runWorker(w *worker) {
 	for task := range w.tasks {
 		task()
 		if !p.park(w) {
@@ -58,32 +58,32 @@
 
 // park adds a worker to the idle ones. It reports false if the pool is stopped or
 // already has enough idle workers.
-func (p *workers) park(w *worker) bool {
+func (p *workerPool) park(w *worker) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stopped || len(p.idle) >= maxIdleWorkers {
 		return false
 	}
-	w.usedAt = now()
+	w.idleSince = now()
 	p.idle = append(p.idle, w)
 	return true
 }
 
 // trim ends the workers that have been idle for longer than workerIdle. at is the
 // current time of now.
-func (p *workers) trim(at time.Duration) {
+func (p *workerPool) trim(at time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := 0
-	for old < len(p.idle) && at-p.idle[old].usedAt > workerIdle {
-		close(p.idle[old].tasks)
-		old++
+	expired := 0
+	for expired < len(p.idle) && at-p.idle[expired].idleSince > workerIdleTimeout {
+		close(p.idle[expired].tasks)
+		expired++
 	}
-	p.idle = append(p.idle[:0], p.idle[old:]...)
+	p.idle = append(p.idle[:0], p.idle[expired:]...)
 }
 
 // stop ends all idle workers and waits until the busy ones have finished.
-func (p *workers) stop() {
+func (p *workerPool) stop() {
 	p.mu.Lock()
 	p.stopped = true
 	for _, w := range p.idle {
@@ -91,5 +91,5 @@
 	}
 	p.idle = nil
 	p.mu.Unlock()
-	p.total.Wait()
+	p.running.Wait()
 }
--- a/internal/connection/peer/workers_test.go
+++ b/internal/connection/peer/workers_test.go
@@ -11,13 +11,13 @@
 // TestWorkersAreReusedAndTrimmed checks that consecutive tasks run on one worker, that trim ends idle
 // workers, and that stop waits for a busy one.
 func TestWorkersAreReusedAndTrimmed(t *testing.T) {
-	pool := &workers{}
+	pool := &workerPool{}
 	var ran atomic.Int64
 	for n := int64(1); n <= 10; n++ {
 		pool.run(func() { ran.Add(1) })
 		eventually(t, "the worker is idle again", func() bool { return ran.Load() == n && pool.idleCount() == 1 })
 	}
-	pool.trim(now() + workerIdle + time.Second)
+	pool.trim(now() + workerIdleTimeout + time.Second)
 	assert.Equal(t, pool.idleCount(), 0)
 	release := make(chan struct{})
 	pool.run(func() { <-release; ran.Add(1) })
@@ -29,7 +29,7 @@
 	assert.Equal(t, pool.idleCount(), 0)
 }
 
-func (p *workers) idleCount() int {
+func (p *workerPool) idleCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle)
