--- a/internal/connection/peer/control_test.go
+++ b/internal/connection/peer/control_test.go
@@ -11,10 +11,10 @@
 // TestReplyToAFormerProcessAnswersNoCall checks that a reply to a call of a VM's previous process, which
 // arrives after the restart, does not complete a call of the new process.
 func TestReplyToAFormerProcessAnswersNoCall(t *testing.T) {
-	former, present := newPendingCalls(), newPendingCalls()
+	previous, current := newPendingCalls(), newPendingCalls()
 	for range 9 {
-		present.begin("b")
+		current.begin("b")
 	}
-	number, _ := former.begin("a")
-	assert.Assert(t, !present.complete(&peerv1.Control{ReplyTo: number}))
+	number, _ := previous.begin("a")
+	assert.Assert(t, !current.complete(&peerv1.Control{ReplyTo: number}))
 }
--- a/internal/connection/peer/hostile_test.go
+++ b/internal/connection/peer/hostile_test.go
@@ -84,7 +84,7 @@
 	assert.Check(t, err)
 }
 
-func answerOf(id uint64, body string) *peerv1.Response {
+func answeredResponse(id uint64, body string) *peerv1.Response {
 	return &peerv1.Response{Id: id, Outcome: outcome.Answered.Wire(), Status: 200, Body: []byte(body), ContentLength: int64(len(body))}
 }
 
@@ -92,18 +92,18 @@
 // one with an unknown id are counted as unmatched and do not complete another request.
 func TestDoubledLateAndUnknownResponses(t *testing.T) {
 	d := &directory{}
-	withdrawn := make(chan struct{})
+	canceled := make(chan struct{})
 	startRawPeer(t, d, func(p *rawPeer) {
 		first := p.next(t)
-		p.send(t, answerOf(first.Id+100, "nobody's"))
-		p.send(t, answerOf(first.Id, "first"))
-		p.send(t, answerOf(first.Id, "doubled"))
-		late := p.next(t)
-		<-withdrawn
-		p.send(t, answerOf(late.Id, "late"))
+		p.send(t, answeredResponse(first.Id+100, "nobody's"))
+		p.send(t, answeredResponse(first.Id, "first"))
+		p.send(t, answeredResponse(first.Id, "doubled"))
+		second := p.next(t)
+		<-canceled
+		p.send(t, answeredResponse(second.Id, "late"))
 		last := p.next(t)
-		p.send(t, answerOf(late.Id, "later still"))
-		p.send(t, answerOf(last.Id, "last"))
+		p.send(t, answeredResponse(second.Id, "later still"))
+		p.send(t, answeredResponse(last.Id, "last"))
 	})
 	a := start(t, d, "a", nil)
 	response, _, err := a.Do(testContext(t), "b", &peerv1.Request{}, nil)
@@ -114,7 +114,7 @@
 	defer cancel()
 	_, _, err = a.Do(ctx, "b", &peerv1.Request{}, nil)
 	assert.Assert(t, sentOf(t, err))
-	close(withdrawn)
+	close(canceled)
 
 	response, _, err = a.Do(testContext(t), "b", &peerv1.Request{}, nil)
 	assert.NilError(t, err)
@@ -127,7 +127,7 @@
 func TestResponseThatPromisesABodyOnTheSharedStream(t *testing.T) {
 	d := &directory{}
 	startRawPeer(t, d, func(p *rawPeer) {
-		response := answerOf(p.next(t).Id, "")
+		response := answeredResponse(p.next(t).Id, "")
 		response.BodyFollows = true
 		p.send(t, response)
 	})
@@ -223,15 +223,15 @@
 		content = append(content, make([]byte, rapid.IntRange(0, 3*chunkSize).Draw(t, "zeros"))...)
 		var stream bytes.Buffer
 		assert.NilError(t, copyChunks(&stream, bytes.NewReader(content), nil))
-		whole := stream.Bytes()
-		cut := len(whole)
+		encoded := stream.Bytes()
+		cut := len(encoded)
 		if rapid.Bool().Draw(t, "cut") {
-			cut = rapid.IntRange(0, len(whole)-1).Draw(t, "cut at")
+			cut = rapid.IntRange(0, len(encoded)-1).Draw(t, "cut at")
 		}
-		body := newBodyReader(bufio.NewReader(bytes.NewReader(whole[:cut])), nil, false, nil)
+		body := newBodyReader(bufio.NewReader(bytes.NewReader(encoded[:cut])), nil, false, nil)
 		got, err := io.ReadAll(body)
-		if cut < len(whole) {
-			assert.Assert(t, err != nil, "a body truncated at byte %d of %d was accepted as complete", cut, len(whole))
+		if cut < len(encoded) {
+			assert.Assert(t, err != nil, "a body truncated at byte %d of %d was accepted as complete", cut, len(encoded))
 			return
 		}
 		assert.NilError(t, err)
@@ -242,9 +242,9 @@
 func TestWrongTotalIsDetected(t *testing.T) {
 	var stream bytes.Buffer
 	assert.NilError(t, copyChunks(&stream, bytes.NewReader([]byte("abc")), nil))
-	whole := stream.Bytes()
-	whole[len(whole)-1]++
-	_, err := io.ReadAll(newBodyReader(bytes.NewReader(whole), nil, false, nil))
+	encoded := stream.Bytes()
+	encoded[len(encoded)-1]++
+	_, err := io.ReadAll(newBodyReader(bytes.NewReader(encoded), nil, false, nil))
 	assert.ErrorIs(t, err, errBodyLength)
 }
 
