--- a/internal/connection/peer/body.go
+++ b/internal/connection/peer/body.go
@@ -26,7 +26,7 @@
 	// chunkSize is the maximum payload of a chunk in bytes.
 	chunkSize = 32 << 10
 	// goAheadByte tells the sender of a request's body to start. The source of the
-	// body is not read before, so a refused request can be sent to another VM.
+	// body is not read until then, so a refused request can be sent to another VM.
 	goAheadByte = 'G'
 )
 
@@ -45,8 +45,8 @@
 
 // sendBody copies a body to a stream until the body ends, reading it fails, or
 // the receiver closes its half of the stream. The end marker is written only
-// after a complete body. If waitForFlow is set, nothing is read from the body
-// until the receiver sends flowByte. sendBody closes the stream.
+// after a complete body. If waitForGoAhead is set, nothing is read from the body
+// until the receiver sends goAheadByte. sendBody closes the stream.
 func sendBody(stream *yamux.Stream, body io.Reader, waitForGoAhead bool) error {
 	goAhead, closed := watchReceiver(stream)
 	defer func() {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// watchReceiver reads the receiver's half of the stream. The channel flow is
+// watchReceiver reads the receiver's half of the stream. The channel goAhead is
 // closed when the receiver asks for the body, the channel closed when it stops
 // reading or the session ends.
 func watchReceiver(stream *yamux.Stream) (goAhead, closed <-chan struct{}) {
@@ -130,7 +130,7 @@
 type bodyReader struct {
 	in     io.Reader
 	stream *yamux.Stream
-	// sendGoAhead is set if the first Read has to send flowByte.
+	// sendGoAhead is set if the first Read has to send goAheadByte.
 	sendGoAhead bool
 	// remaining is the unread part of the current chunk in bytes.
 	remaining uint32
@@ -207,6 +207,7 @@
 	return io.EOF
 }
 
+// truncatedOnEOF replaces the end of the stream by errBodyTruncated.
 func truncatedOnEOF(err error) error {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
 		return errBodyTruncated
@@ -229,8 +230,8 @@
 	return nil
 }
 
-// closeOnDone closes the body when the context ends. The returned function detaches
-// the body from the context.
+// closeOnDone closes the body when the context ends. The returned function
+// detaches the body from the context.
 func (b *bodyReader) closeOnDone(ctx context.Context) func() bool {
 	return context.AfterFunc(ctx, func() { _ = b.Close() })
 }
--- a/internal/connection/peer/control.go
+++ b/internal/connection/peer/control.go
@@ -97,14 +97,14 @@
 	return nil
 }
 
-// firstCallRange is the range from which a process draws its first call number. It is
-// large enough that two processes of a VM do not use the same numbers, and small
-// enough for a short varint.
+// firstCallRange is the exclusive upper bound of the random first call number of a
+// process. It is large enough that two processes of a VM do not use the same
+// numbers, and small enough for a short varint.
 const firstCallRange = 1 << 48
 
-// pendingCalls holds the control pendingCalls that wait for a reply, by call number. The numbers
-// belong to this process, not to a session: a reply is matched on whichever session
-// it arrives, and a reply to a previous process of this VM matches no call.
+// pendingCalls holds the control calls that wait for a reply, by call number. The
+// numbers belong to this process, not to a session: a reply is matched on whichever
+// session it arrives, and a reply to a previous process of this VM matches no call.
 type pendingCalls struct {
 	mu         sync.Mutex
 	lastNumber uint64
--- a/internal/connection/peer/do.go
+++ b/internal/connection/peer/do.go
@@ -29,8 +29,8 @@
 	return s.do(ctx, p, request, body)
 }
 
-// registerRequest registers a request on a session to a VM. If the session has begun to
-// close meanwhile, it tries another.
+// registerRequest registers a request on a session to a VM. If the session has
+// begun to close meanwhile, it tries another.
 func (t *Transport) registerRequest(ctx context.Context, vm string, request *peerv1.Request) (*session, *pendingRequest, error) {
 	for range maxSessionAttempts {
 		s, err := t.sessionTo(ctx, vm)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// do sends a registered request that has a stream of its own (register has queued
-// any other), and waits for the response.
+// do sends a request with a stream of its own (register has queued any other), and
+// waits for the response.
 func (s *session) do(ctx context.Context, p *pendingRequest, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser, error) {
 	if p.ownStream {
 		if sent, err := s.sendRequestWithBody(ctx, request, body); err != nil {
@@ -114,9 +114,9 @@
 	return nil, nil, &SendError{VM: s.peer.VM, Sent: true, Cause: context.Cause(ctx)}
 }
 
-// sendRequestWithBody opens a stream for a request with a body, writes the request and
-// starts to send the body in the background. sent reports whether a byte of the
-// request may have reached the peer.
+// sendRequestWithBody opens a stream for a request with a body, writes the request
+// and starts to send the body in the background. sent reports whether a byte of
+// the request may have reached the peer.
 func (s *session) sendRequestWithBody(ctx context.Context, request *peerv1.Request, body io.Reader) (sent bool, err error) {
 	if !s.transport.startTask() {
 		return false, errClosed
--- a/internal/connection/peer/gather.go
+++ b/internal/connection/peer/gather.go
@@ -25,11 +25,11 @@
 //
 // The position of a frame is its byte offset in the stream. Once the writer is
 // closed, a frame was never passed to the connection if its position is equal to
-// or above handed().
+// or above takenPosition().
 type batchWriter struct {
 	mu     sync.Mutex
 	queued []byte
-	// spare is a written buffer that take reuses; nil if there is none.
+	// spare is a written buffer that takeAll reuses; nil if there is none.
 	spare []byte
 	// queuedEnd is the position after the last queued byte.
 	queuedEnd uint64
@@ -103,7 +103,7 @@
 }
 
 // takeAll removes and returns all queued bytes and counts them as passed to the
-// connection. It reports false once the writer is closed.
+// connection. It returns false once the writer is closed.
 func (w *batchWriter) takeAll() ([]byte, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -128,8 +128,8 @@
 	w.mu.Unlock()
 }
 
-// takenPosition returns the position up to which bytes were passed to the connection.
-// The value is final once the writer is closed.
+// takenPosition returns the position up to which bytes were passed to the
+// connection. The value is final once the writer is closed.
 func (w *batchWriter) takenPosition() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/connection/peer/pending.go
+++ b/internal/connection/peer/pending.go
@@ -23,8 +23,8 @@
 	response *peerv1.Response
 	body     io.ReadCloser
 	err      error
-	// sent is meaningful only with lost. It is set if a byte of the request may
-	// have reached the peer.
+	// sent is meaningful only if err is set. It reports whether a byte of the
+	// request may have reached the peer.
 	sent bool
 }
 
--- a/internal/connection/peer/workers.go
+++ b/internal/connection/peer/workers.go
@@ -12,11 +12,11 @@
 	workerIdleTimeout = 10 * time.Second
 )
 
-// workerPool runs tasks on reused goroutines. A new goroutine would have to grow its
-// stack for each request.
+// workerPool runs tasks on reused goroutines. A new goroutine would have to grow
+// its stack for each request.
 type workerPool struct {
 	mu      sync.Mutex
-	idle    []*worker // ordered by usedAt, oldest first
+	idle    []*worker // ordered by idleSince, oldest first
 	stopped bool
 	running sync.WaitGroup
 }
@@ -45,8 +45,8 @@
 	p.running.Go(func() { p.runWorker(w) })
 }
 
-// runWorker runs the tasks of one worker until its channel is closed or it cannot be
-// parked.
+// runWorker runs the tasks of one worker until its channel is closed or it cannot
+// be parked.
 func (p *workerPool) runWorker(w *worker) {
 	for task := range w.tasks {
 		task()
@@ -69,8 +69,8 @@
 	return true
 }
 
-// trim ends the workers that have been idle for longer than workerIdle. at is the
-// current time of now.
+// trim ends the workers that have been idle for longer than
+// workerIdleTimeout. at is the current time on the clock of now.
 func (p *workerPool) trim(at time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connection/peer/workers_test.go
+++ b/internal/connection/peer/workers_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWorkersAreReusedAndTrimmed checks that consecutive tasks run on one worker, that trim ends idle
-// workers, and that stop waits for a busy one.
+// TestWorkersAreReusedAndTrimmed checks that consecutive tasks run on one worker,
+// that trim ends idle workers, and that stop waits for a busy one.
 func TestWorkersAreReusedAndTrimmed(t *testing.T) {
 	pool := &workerPool{}
 	var ran atomic.Int64
