--- a/internal/connection/caller/backlog.go
+++ b/internal/connection/caller/backlog.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// takeBacklog closes a listener and returns the connections that its callers had
-// opened and nobody had accepted; closing alone would reset them. The deadline of the
-// listener has passed, so its Accept does not return them any more. Connections that
-// are opened between its last two system calls are still reset.
+// takeBacklog closes a listener and returns the connections in its backlog, which
+// closing alone would reset. The accept deadline of the listener has passed, so Accept
+// no longer returns them. Connections that are opened between the last accept and the
+// close are still reset.
 func takeBacklog(listener net.Listener) (waiting []net.Conn) {
 	source, ok := listener.(syscall.Conn)
 	if !ok {
--- a/internal/connection/caller/caller_test.go
+++ b/internal/connection/caller/caller_test.go
@@ -19,7 +19,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/connection/caller"
 )
 
-// bound is how long anything in these tests may take.
+// bound is the timeout of every operation in these tests.
 const bound = 5 * time.Second
 
 type fixture struct {
@@ -69,14 +69,15 @@
 	return response, string(body)
 }
 
-// TestPipelinedRequestsRunSideBySide and are answered in order.
+// TestPipelinedRequestsRunSideBySide checks that pipelined GET requests run
+// concurrently and are answered in order.
 func TestPipelinedRequestsRunSideBySide(t *testing.T) {
 	last := make(chan struct{})
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/3" {
 			close(last)
 		} else {
-			// Only a request behind this one ends the wait.
+			// Only a later request ends this wait.
 			<-last
 		}
 		_, _ = io.WriteString(w, r.URL.Path)
@@ -91,7 +92,8 @@
 	}
 }
 
-// TestUnsafeRequestsWaitForThoseBefore them on their connection.
+// TestUnsafeRequestsWaitForThoseBefore checks that requests with side effects on one
+// connection run one after another.
 func TestUnsafeRequestsWaitForThoseBefore(t *testing.T) {
 	var running, most atomic.Int32
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
@@ -111,8 +113,8 @@
 	assert.Equal(t, most.Load(), int32(1))
 }
 
-// TestCloseCancelsEverything that a caller asked for, also what waits behind
-// other requests.
+// TestCloseCancelsEverything checks that a close by the caller cancels all its
+// requests, pipelined ones included.
 func TestCloseCancelsEverything(t *testing.T) {
 	canceled := make(chan struct{}, 2)
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
@@ -131,12 +133,13 @@
 		select {
 		case <-canceled:
 		case <-time.After(500 * time.Millisecond):
-			t.Fatal("a request was not cancelled within half a second of the close")
+			t.Fatal("a request was not canceled within half a second of the close")
 		}
 	}
 }
 
-// TestBodies of all forms reach the handler and the caller whole.
+// TestBodies checks that bodies with a length, in chunks and after 100 Continue reach
+// the handler and the caller complete.
 func TestBodies(t *testing.T) {
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -166,8 +169,8 @@
 	assert.Equal(t, body, "x")
 }
 
-// TestUnreadBodyDoesNotSpoilTheNextRequest: a refused upload leaves the
-// connection usable.
+// TestUnreadBodyDoesNotSpoilTheNextRequest guards against parsing an unread body as
+// the next request: it is discarded and the connection stays usable.
 func TestUnreadBodyDoesNotSpoilTheNextRequest(t *testing.T) {
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -181,8 +184,8 @@
 	assert.Equal(t, body, "/2")
 }
 
-// TestBrokenAnswerEndsTheConnection: an answer shorter than announced, or
-// aborted, never looks complete.
+// TestBrokenAnswerEndsTheConnection checks that a response that is aborted or shorter
+// than its Content-Length does not look complete to the caller.
 func TestBrokenAnswerEndsTheConnection(t *testing.T) {
 	for _, path := range []string{"/short", "/aborted", "/chunks"} {
 		f := start(t, func(w http.ResponseWriter, r *http.Request) {
@@ -204,8 +207,8 @@
 	}
 }
 
-// TestBrokenAnswerWithoutLengthIsReset: for a caller of HTTP/1.0 the orderly end of
-// the connection is the end of the answer.
+// TestBrokenAnswerWithoutLengthIsReset checks that an aborted HTTP/1.0 response resets
+// the connection, because an orderly close would mark the end of a complete response.
 func TestBrokenAnswerWithoutLengthIsReset(t *testing.T) {
 	f := start(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "abc")
@@ -218,7 +221,8 @@
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 }
 
-// TestLimits of a head, the time for it, and idle connections.
+// TestLimits checks the limits of the head's size, the time to send it and the idle
+// time, and that invalid requests are answered with 400.
 func TestLimits(t *testing.T) {
 	f := startWith(t, func(http.ResponseWriter, *http.Request) {}, caller.Limits{
 		HeaderBytes: 1 << 10, HeaderTimeout: 100 * time.Millisecond, IdleTimeout: 200 * time.Millisecond,
@@ -231,7 +235,7 @@
 	conn, reader = f.dial(t)
 	send(t, conn, "GET / HTT")
 	_, err := reader.ReadByte()
-	assert.Assert(t, err != nil, "a head that does not end is cut off")
+	assert.Assert(t, err != nil, "the connection stays open although the head did not end within its timeout")
 
 	_, reader = f.dial(t)
 	began := time.Now()
@@ -248,8 +252,8 @@
 	assert.Equal(t, response.StatusCode, http.StatusBadRequest)
 }
 
-// TestShutdownAnswersWhatWasRead: requests that have been read get their
-// answers, idle connections end, new ones are refused.
+// TestShutdownAnswersWhatWasRead checks that during a shutdown requests that have been
+// read are answered, idle connections are closed and new ones are refused.
 func TestShutdownAnswersWhatWasRead(t *testing.T) {
 	entered := make(chan struct{}, 2)
 	release := make(chan struct{})
@@ -270,7 +274,7 @@
 	close(release)
 	first, body := receive(t, busyReader)
 	assert.Equal(t, body, "done")
-	assert.Assert(t, !first.Close, "another request was read behind this one")
+	assert.Assert(t, !first.Close, "the response closes the connection although another request has been read")
 	_, body = receive(t, busyReader)
 	assert.Equal(t, body, "done")
 	_, err = busyReader.ReadByte()
@@ -280,7 +284,7 @@
 	assert.Assert(t, err != nil)
 }
 
-// shutdown stops a server and returns the result of the stop.
+// shutdown calls Shutdown in the background and returns a channel with its result.
 func (f *fixture) shutdown() <-chan error {
 	stopped := make(chan error, 1)
 	go func() {
@@ -291,8 +295,9 @@
 	return stopped
 }
 
-// TestShutdownWaitsForFirstRequests of connections that have not had one, for a
-// bounded time; connections that have had one end at once.
+// TestShutdownWaitsForFirstRequests checks that a shutdown keeps connections without a
+// first request open for FirstRequestWait, and closes idle connections that have had
+// one immediately.
 func TestShutdownWaitsForFirstRequests(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	f := start(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.URL.Path) })
@@ -306,7 +311,7 @@
 	stopped := f.shutdown()
 	_, err := keptReader.ReadByte()
 	assert.Equal(t, err, io.EOF)
-	assert.Assert(t, time.Since(began) < wait, "a kept connection without a request has stayed open for %s", time.Since(began))
+	assert.Assert(t, time.Since(began) < wait, "an idle connection that had a request stayed open for %s", time.Since(began))
 	time.Sleep(wait / 3)
 	send(t, fresh, "GET /2 HTTP/1.1\nHost: h\n\n")
 	response, body := receive(t, freshReader)
@@ -315,15 +320,16 @@
 	_, err = unusedReader.ReadByte()
 	assert.Equal(t, err, io.EOF)
 	assert.NilError(t, <-stopped)
-	assert.Assert(t, time.Since(began) >= wait, "the stop has waited for first requests for %s", time.Since(began))
-	assert.Assert(t, time.Since(began) < 2*wait+time.Second, "the stop has taken %s", time.Since(began))
+	assert.Assert(t, time.Since(began) >= wait, "the shutdown waited for first requests for only %s", time.Since(began))
+	assert.Assert(t, time.Since(began) < 2*wait+time.Second, "the shutdown took %s", time.Since(began))
 }
 
-// lateListener accepts nothing before it is told to stop: connections wait in the
-// backlog as they do while the accepting goroutine is not scheduled.
+// lateListener accepts nothing before the server stops it: connections wait in the
+// backlog, as they do while the accepting goroutine is not scheduled.
 type lateListener struct {
 	*net.TCPListener
 	once sync.Once
+	// told is closed when the server has set a deadline or closed the listener.
 	told chan struct{}
 }
 
@@ -346,8 +352,9 @@
 	return err
 }
 
-// TestShutdownServesTheBacklog: connections that callers have opened and that are
-// not accepted yet are served, and only then others are refused.
+// TestShutdownServesTheBacklog guards against resetting connections that callers have
+// opened and the server has not accepted yet: they are served, and only later ones are
+// refused.
 func TestShutdownServesTheBacklog(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -355,7 +362,7 @@
 		_, _ = io.WriteString(w, r.URL.Path)
 	}, usualLimits)
 	f.server.FirstRequestWait = bound / 2
-	// The server knows its listener.
+	// Give Serve the time to register the listener.
 	time.Sleep(50 * time.Millisecond)
 	var conns []net.Conn
 	var readers []*bufio.Reader
@@ -378,7 +385,8 @@
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
 }
 
-// TestAnnouncedCloseIsKept: nothing follows an answer that announces the end.
+// TestAnnouncedCloseIsKept checks that the connection ends after a response with
+// Connection: close.
 func TestAnnouncedCloseIsKept(t *testing.T) {
 	f := start(t, func(w http.ResponseWriter, r *http.Request) { w.Header().Set("Connection", "close") })
 	conn, reader := f.dial(t)
@@ -389,7 +397,8 @@
 	assert.Equal(t, err, io.EOF)
 }
 
-// TestBodyWhoseFramingIsNotReadIsNoRequest: it would run as one that nobody sent.
+// TestBodyWhoseFramingIsNotReadIsNoRequest guards against request smuggling: when
+// net/http ignores the framing headers of a body, the body must not run as a request.
 func TestBodyWhoseFramingIsNotReadIsNoRequest(t *testing.T) {
 	smuggled := "GET /smuggled HTTP/1.1\nHost: h\n\n"
 	for name, head := range map[string]string{
@@ -413,7 +422,8 @@
 	}
 }
 
-// TestNothingRunsBehindTheLastRequest of a connection, as its caller has named it.
+// TestNothingRunsBehindTheLastRequest checks that no request runs after one with
+// Connection: close.
 func TestNothingRunsBehindTheLastRequest(t *testing.T) {
 	var runs atomic.Int32
 	f := start(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/connection/caller/conn.go
+++ b/internal/connection/caller/conn.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// readBuffer and writeBuffer are the buffers of a connection in bytes.
+	// readBuffer and writeBuffer are the buffer sizes of a connection, in bytes.
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
-	// maxPipelined bounds the requests of a connection that are under way.
+	// maxPipelined bounds the requests in flight on one connection.
 	maxPipelined = 16
-	// discardBytes bounds what is read of a body that its handler did not want,
-	// to keep the connection.
+	// discardBytes bounds how much of an unread body is discarded in order to reuse
+	// the connection.
 	discardBytes = 256 << 10
-	// lingerTime is how long a closed connection still takes what the caller
-	// sends, since closing with unread bytes would destroy the answer.
+	// lingerTime is how long a connection that is being closed still reads from the
+	// caller: closing a socket with unread data resets it, and the caller could
+	// lose the response.
 	lingerTime = 300 * time.Millisecond
-	// writeTimeout bounds one write to a caller that does not read.
+	// writeTimeout bounds one write, in case the caller does not read.
 	writeTimeout = 10 * time.Second
-	// bodyTimeout bounds the wait for the next part of a body.
+	// bodyTimeout bounds one read of a request body.
 	bodyTimeout = 10 * time.Second
 )
 
@@ -36,29 +37,34 @@
 type conn struct {
 	server *Server
 	socket net.Conn
+	// source is what reader reads from: the socket, with a limit for request heads.
 	source *headLimiter
 	reader *bufio.Reader
+	// writer is used by the responses in turn.
 	writer *bufio.Writer
-	// ctx ends when the caller closes the connection.
+	// ctx is the context of all requests. It is canceled when the caller leaves or the
+	// connection is closed.
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// pending counts requests that were read and not answered in full.
+	// pending is the number of requests whose response is not complete.
 	pending int
-	// slots is signalled when a request ends.
+	// slots is signalled when a request ends or the connection is closed.
 	slots *sync.Cond
-	// closing is set once no further request will be answered.
+	// closing is set when no further request will be answered.
 	closing bool
-	closed  bool
-	// draining is set by a stop: the connection ends as soon as it has no request.
+	// closed is set when the socket is closed.
+	closed bool
+	// draining is set by drain: the connection is closed once it has no request.
 	draining bool
-	// used is set once a request has begun.
+	// used is set when the first request has begun to arrive.
 	used bool
 	// reading is set while a request is being read.
 	reading bool
 
-	// last is set by the reading goroutine once it has read the last request.
+	// last is set when a request has been read that closes the connection. Only the
+	// reading goroutine uses it.
 	last bool
 }
 
@@ -71,7 +77,7 @@
 	return c
 }
 
-// serve reads requests until the connection ends.
+// serve reads and starts requests until the connection ends.
 func (c *conn) serve() {
 	defer c.server.forget(c)
 	defer c.cancel()
@@ -92,7 +98,7 @@
 		}
 		turn = next
 		if body != nil {
-			// The next head stands behind the body.
+			// The next request head follows the body.
 			<-body
 		}
 		if !c.waitForSlot() {
@@ -131,8 +137,9 @@
 	return request, checkHead(request)
 }
 
-// checkHead rejects heads that net/http reads although the end of the body cannot be
-// told: what follows would run as a request of its own.
+// checkHead rejects request heads that net/http accepts although they leave the end
+// of the body ambiguous: part of the body could run as another request (request
+// smuggling).
 func checkHead(request *http.Request) error {
 	for name := range request.Header {
 		if strings.Contains(name, " ") {
@@ -145,22 +152,22 @@
 			return errNoHost
 		}
 	case !safe(request.Method) && request.Header.Get("Content-Length") == "":
-		// net/http drops the encoding of an HTTP/1.0 body.
+		// net/http ignores Transfer-Encoding in an HTTP/1.0 request.
 		return errNoLength
 	}
 	return nil
 }
 
 var (
-	errIdle     = errors.New("the connection ended between requests")
-	errLast     = errors.New("the request before was to be the last")
-	errNoHost   = errors.New("the request names no host")
-	errName     = errors.New("the request has a header with a space in its name")
-	errNoLength = errors.New("the request of HTTP/1.0 has no length")
+	errIdle     = errors.New("the connection ended before another request")
+	errLast     = errors.New("a previous request closes the connection")
+	errNoHost   = errors.New("the request has no Host header")
+	errName     = errors.New("the request has a header name with a space")
+	errNoLength = errors.New("the HTTP/1.0 request has no Content-Length")
 )
 
-// beginReading notes that a request is being read. It reports false if none will be
-// answered any more.
+// beginReading records that a request is being read. It reports false if the
+// connection is closing, so that no further request will be answered.
 func (c *conn) beginReading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,7 +178,8 @@
 	return true
 }
 
-// waitIdle sets the deadline for the next request; none while answers are due.
+// waitIdle records that no request is being read and sets the deadline for the
+// next one. There is none while requests are in flight.
 func (c *conn) waitIdle(limits Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,24 +187,25 @@
 	c.setIdleDeadline(limits)
 }
 
-// setIdleDeadline bounds the wait for a request on a connection without any;
-// the lock is held.
+// setIdleDeadline sets the read deadline of a connection without requests, and
+// removes it from one with requests. The caller holds c.mu.
 func (c *conn) setIdleDeadline(limits Limits) {
 	if c.pending > 0 || c.reading {
 		_ = c.socket.SetReadDeadline(time.Time{})
 		return
 	}
 	if c.draining {
-		// Wakes the reader.
+		// Interrupts the reading goroutine.
 		_ = c.socket.SetReadDeadline(time.Now())
 		return
 	}
 	_ = c.socket.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
 }
 
-// startRequest runs a request. It returns a channel that is closed once the
-// body has been read, or nil if there is none. It reports false if an answer
-// has announced the end of the connection meanwhile.
+// startRequest starts the handler of a request. turn is closed when the previous
+// response is complete, next when this one is. It returns a channel that is closed
+// when the body has been read or given up, or nil if there is no body. It reports
+// false if a response has meanwhile announced that the connection closes.
 func (c *conn) startRequest(request *http.Request, turn, next chan struct{}) (body chan struct{}, started bool) {
 	c.mu.Lock()
 	c.reading = false
@@ -216,16 +225,18 @@
 	request.RemoteAddr = c.socket.RemoteAddr().String()
 	w.request = request
 	if !safe(request.Method) {
-		// What is not safe to run beside others waits for them.
+		// Requests with side effects run only after all previous ones.
 		<-turn
 	}
 	go c.run(request, w, next, done)
 	return done, true
 }
 
+// safe reports whether requests with the method have no side effects and may run
+// concurrently.
 func safe(method string) bool { return method == http.MethodGet || method == http.MethodHead }
 
-// run calls the handler and completes its answer.
+// run calls the handler and completes its response.
 func (c *conn) run(request *http.Request, w *response, next, body chan struct{}) {
 	aborted := true
 	defer func() {
@@ -246,14 +257,14 @@
 	aborted = false
 }
 
-// requestDone counts the end of a request.
+// requestDone records the end of a request.
 func (c *conn) requestDone(w *response) {
 	limits := c.server.Limits()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending--
 	if c.closing && c.pending == 0 {
-		// Wakes the reader.
+		// Interrupts the reading goroutine.
 		_ = c.socket.SetReadDeadline(time.Now())
 	} else if !c.reading {
 		c.setIdleDeadline(limits)
@@ -261,8 +272,8 @@
 	c.slots.Broadcast()
 }
 
-// waitForSlot waits while too many requests are under way. It reports false
-// once no further request is to be read.
+// waitForSlot waits while maxPipelined requests are in flight. It reports false if
+// no further request is to be read.
 func (c *conn) waitForSlot() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -272,7 +283,8 @@
 	return !c.closing
 }
 
-// readFailed ends a connection on which no further request can be read.
+// readFailed closes the connection after readRequest has failed. An invalid request
+// is answered before.
 func (c *conn) readFailed(err error, turn chan struct{}) {
 	var status int
 	switch {
@@ -282,7 +294,7 @@
 			c.finish()
 			return
 		}
-		// The caller has left: what it asked for is not wanted any more.
+		// The caller has closed the connection: cancel its requests.
 		c.abort()
 		return
 	case errors.Is(err, errLast):
@@ -311,8 +323,9 @@
 	return c.closing || c.draining
 }
 
-// drain closes a connection without requests, and makes one with requests end
-// after their answers. If waits is set, one that has had no request stays open.
+// drain closes the connection if it is idle, or makes it close after the responses
+// to its requests. If waits is set, a connection that has had no request yet stays
+// open. While a request is being read it does nothing; Shutdown calls it again.
 func (c *conn) drain(waits bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -321,15 +334,17 @@
 	case c.pending > 0:
 		c.closing = true
 	default:
-		// Not closing: a request whose first byte is there already is answered.
+		// closing stays unset, so that a request is still answered if its first byte
+		// has already arrived.
 		c.draining = true
 		_ = c.socket.SetReadDeadline(time.Now())
 	}
 }
 
-// endWith decides whether the connection ends with an answer. It must, if the
-// caller asked for it. It may, if this VM wants it to end and no other request
-// has been read behind this one.
+// endWith reports whether the connection closes after the response that is about to
+// be written, and records it. It always does if must is set, as when the caller
+// asked for it. If the handler (wanted) or a shutdown asks for it, it does only
+// when no other request is in flight or being read.
 func (c *conn) endWith(must, wanted bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -340,7 +355,8 @@
 	return false
 }
 
-// finish closes the connection after its last answer.
+// finish closes the connection after its last response. It first closes the write
+// side and reads on for up to lingerTime, so that the caller gets the response.
 func (c *conn) finish() {
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
@@ -350,7 +366,7 @@
 	c.abort()
 }
 
-// abort closes the connection at once and cancels its requests.
+// abort closes the connection immediately and cancels its requests.
 func (c *conn) abort() {
 	c.mu.Lock()
 	c.closing = true
--- a/internal/connection/caller/request.go
+++ b/internal/connection/caller/request.go
@@ -10,17 +10,20 @@
 	"github.com/juju/errors"
 )
 
-// headLimiter bounds the bytes that are read while a head is parsed.
+// headLimiter limits the number of bytes read while a request head is parsed.
 type headLimiter struct {
 	source  io.Reader
 	limited bool
-	left    int
-	// err is what the last read returned; the parser of heads hides it.
+	// left is the number of bytes that may still be read.
+	left int
+	// err is the error of the last read, which http.ReadRequest hides.
 	err error
 }
 
-var errHeadTooLarge = errors.New("the head of the request is too large")
+var errHeadTooLarge = errors.New("the request head is too large")
 
+// limit allows a head of the given size. The read buffer is added because the reader
+// may read beyond the head.
 func (l *headLimiter) limit(bytes int) { l.limited, l.left = true, bytes+readBuffer }
 
 func (l *headLimiter) unlimited() { l.limited = false }
@@ -40,25 +43,29 @@
 	return n, err
 }
 
-// callerBody reads a request's body from the connection.
+// callerBody is the body of a request, read from the connection.
 type callerBody struct {
 	conn   *conn
 	source io.ReadCloser
-	// expects is set while the caller waits for a word before it sends the body.
+	// expects is set while the caller waits for 100 Continue before it sends the
+	// body.
 	expects bool
 	once    sync.Once
-	done    chan struct{}
+	// done is closed when the body has been read or given up.
+	done chan struct{}
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// ended is set when the body has been read to its end.
 	ended bool
-	err   error
+	// err is returned by further reads.
+	err error
 
 	// readingMu guards reading, which is set during a read from the connection.
 	readingMu sync.Mutex
 	reading   bool
 }
 
-// wrapBody returns the body of a request; done is closed once it has been read
+// wrapBody returns the body of a request. It closes done when the body has been read
 // to its end or given up.
 func (c *conn) wrapBody(request *http.Request, done chan struct{}) *callerBody {
 	expects := strings.EqualFold(request.Header.Get("Expect"), "100-continue")
@@ -87,14 +94,15 @@
 		b.ended = err == io.EOF
 		b.release()
 		if !b.ended {
-			// The caller has left midway.
+			// The caller has closed the connection within the body.
 			b.conn.cancel()
 		}
 	}
 	return n, err
 }
 
-// readUntil notes that a read begins, with its deadline, or with none that it has ended.
+// readUntil records that a read with the deadline begins or, if the deadline is zero,
+// that it has ended.
 func (b *callerBody) readUntil(deadline time.Time) {
 	b.readingMu.Lock()
 	defer b.readingMu.Unlock()
@@ -102,8 +110,8 @@
 	_ = b.conn.socket.SetReadDeadline(deadline)
 }
 
-// endRead lets a read that is under way end soon. Without one, the deadline is
-// that of the next request.
+// endRead makes a read in progress end within lingerTime. It sets no deadline
+// otherwise, because the deadline may already be that of the next request.
 func (b *callerBody) endRead() {
 	b.readingMu.Lock()
 	defer b.readingMu.Unlock()
@@ -112,20 +120,21 @@
 	}
 }
 
-// Awaited reports whether the caller waits to be asked for the body.
+// Awaited reports whether the caller waits for 100 Continue before it sends the
+// body.
 func (b *callerBody) Awaited() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.expects
 }
 
-// Close implements io.Closer; the connection goes on.
+// Close implements io.Closer. It leaves the connection open.
 func (b *callerBody) Close() error { return nil }
 
 func (b *callerBody) release() { b.once.Do(func() { close(b.done) }) }
 
-// finish is called after the answer: what is left of the body is read past, or
-// the connection is closed if that is too much.
+// finish is called after the response. It discards the rest of the body; if that is
+// too long or does not arrive in time, the connection will be closed.
 func (b *callerBody) finish() {
 	b.endRead()
 	b.mu.Lock()
@@ -145,7 +154,7 @@
 	b.release()
 }
 
-// sayContinue tells a caller to send its body.
+// sayContinue sends 100 Continue, which asks the caller for its body.
 func (c *conn) sayContinue() error {
 	_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(c.writer, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
--- a/internal/connection/caller/response.go
+++ b/internal/connection/caller/response.go
@@ -10,27 +10,28 @@
 	"github.com/juju/errors"
 )
 
-// response writes one answer. It implements http.ResponseWriter and
-// http.Flusher. Its first byte waits for the answers before it.
+// response writes one response. It implements http.ResponseWriter and http.Flusher.
+// The first write waits until the previous responses are complete.
 type response struct {
 	conn    *conn
 	request *http.Request
 	header  http.Header
-	// turn is closed once the answers before this one are written.
+	// turn is closed when the previous responses are complete.
 	turn chan struct{}
 
 	wroteHead bool
 	status    int
-	// length is the announced length; -1 for an answer in chunks.
+	// length is the value of Content-Length; -1 if the response has none.
 	length  int64
 	written int64
 	chunked bool
-	err     error
+	// err is the first error; nothing is written after it.
+	err error
 }
 
 var (
-	errShortAnswer = errors.New("the answer is shorter than announced")
-	errLongAnswer  = errors.New("the answer is longer than announced")
+	errShortAnswer = errors.New("the response body is shorter than its Content-Length")
+	errLongAnswer  = errors.New("the response body is longer than its Content-Length")
 )
 
 // Header implements http.ResponseWriter.
@@ -55,7 +56,8 @@
 	}
 }
 
-// frame decides how the caller finds the end of the answer.
+// frame sets the headers that tell the caller where the response ends and whether
+// the connection stays open.
 func (w *response) frame() {
 	w.length = -1
 	if announced := w.header.Get("Content-Length"); announced != "" {
@@ -80,7 +82,7 @@
 	}
 }
 
-// hasBody reports whether an answer to the request with the status has a body.
+// hasBody reports whether the method and the status allow a response body.
 func (w *response) hasBody() bool {
 	return w.request.Method != http.MethodHead && w.status >= 200 &&
 		w.status != http.StatusNoContent && w.status != http.StatusNotModified
@@ -110,6 +112,7 @@
 	return len(p), nil
 }
 
+// writePart writes a part of the body, as one chunk if the response is chunked.
 func (w *response) writePart(p []byte) error {
 	if w.chunked {
 		if _, err := io.WriteString(w.conn.writer, strconv.FormatInt(int64(len(p)), 16)+"\r\n"); err != nil {
@@ -133,8 +136,8 @@
 	}
 }
 
-// finish completes the answer after the handler has returned. The connection
-// cannot be used any more after an error.
+// finish completes the response after the handler has returned. After an error the
+// connection must be closed.
 func (w *response) finish() error {
 	if !w.wroteHead {
 		w.WriteHeader(http.StatusOK)
@@ -151,14 +154,15 @@
 	return w.err
 }
 
-// breakOff makes an incomplete answer look so. One that ends with its connection
-// takes a reset for that.
+// breakOff makes sure that the caller can recognize an incomplete response. A response
+// that ends with its connection would look complete after an orderly close, so the
+// connection is reset.
 func (w *response) breakOff() {
 	if !w.wroteHead || w.chunked || w.length >= 0 || !w.hasBody() {
 		return
 	}
 	if tcp, ok := w.conn.socket.(*net.TCPConn); ok {
-		// It fails only on a socket that is closed already.
+		// This fails only if the socket is already closed.
 		_ = tcp.SetLinger(0)
 	}
 }
--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -1,10 +1,11 @@
 // Package caller serves callers' connections over HTTP/1.1.
 //
-// Guarantees: answers leave in the order of the requests of a connection;
-// requests without a body that were sent behind one another run side by side;
-// a caller that closes its connection cancels what it asked for at once, also
-// while it has requests waiting; an answer that breaks off ends its connection;
-// a stop cuts no request that has been read.
+// Guarantees: responses on a connection are written in the order of the requests;
+// pipelined GET and HEAD requests without a body run concurrently, requests with
+// other methods wait for the previous responses; when a caller closes its
+// connection, all its requests are canceled immediately, pipelined ones included;
+// an incomplete response closes its connection; a graceful shutdown interrupts no
+// request that has been read.
 package caller
 
 import (
@@ -19,44 +20,47 @@
 )
 
 const (
-	// acceptRetry is the pause after a connection could not be accepted, e.g. for
-	// want of descriptors.
+	// acceptRetry is the pause after a failed accept, e.g. when the process has run
+	// out of file descriptors.
 	acceptRetry = 20 * time.Millisecond
-	// shutdownPoll is the interval at which a stop looks for open connections.
+	// shutdownPoll is the interval at which Shutdown checks for open connections.
 	shutdownPoll = 10 * time.Millisecond
 )
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits bound the size of a caller's request heads and the time to send them.
 type Limits struct {
-	// HeaderBytes bounds the head of a request.
+	// HeaderBytes bounds the request line and the headers of a request.
 	HeaderBytes int
-	// HeaderTimeout bounds the time from the first byte of a head to its last.
+	// HeaderTimeout bounds the time from the first to the last byte of a request
+	// head.
 	HeaderTimeout time.Duration
-	// IdleTimeout closes a connection without requests.
+	// IdleTimeout is the time after which a connection without requests is closed.
 	IdleTimeout time.Duration
 }
 
-// Server serves callers.
+// Server is an HTTP/1.1 server for callers.
 type Server struct {
 	Handler http.Handler
-	// Limits returns the limits in force; they count from the next request.
+	// Limits returns the limits in force. It is called for each request, so changes
+	// apply from the next request on.
 	Limits func() Limits
-	// FirstRequestWait is how long a stop waits for the first request of a
-	// connection.
+	// FirstRequestWait is how long Shutdown waits for the first request on a
+	// connection that has had none.
 	FirstRequestWait time.Duration
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
 	listener net.Listener
-	// accepted is closed once Serve accepts no more.
+	// accepted is closed when Serve accepts no more connections.
 	accepted chan struct{}
 	stopping atomic.Bool
 }
 
 // ErrStopped is returned by Serve after Shutdown or Close.
-var ErrStopped = errors.New("the server for callers has stopped")
+var ErrStopped = errors.New("the caller server is stopped")
 
-// Serve accepts connections until the server is stopped. It is called once.
+// Serve accepts connections until Shutdown or Close is called, and then returns
+// ErrStopped. It may be called only once.
 func (s *Server) Serve(listener net.Listener) error {
 	defer listener.Close()
 	accepted := make(chan struct{})
@@ -101,10 +105,10 @@
 	s.mu.Unlock()
 }
 
-// Shutdown accepts no more connections than those that callers have opened
-// already, closes those without requests, and waits until the others have got
-// their answers or the context ends. Connections without a first request have
-// FirstRequestWait for it.
+// Shutdown stops listening, accepts the connections that are already in the
+// backlog, closes idle connections, and waits until the requests in flight are
+// answered or the context ends. A connection that has had no request yet stays
+// open for FirstRequestWait.
 func (s *Server) Shutdown(ctx context.Context) error {
 	firstRequests := time.Now().Add(s.FirstRequestWait)
 	s.stopAccepting()
@@ -125,8 +129,8 @@
 	}
 }
 
-// stopAccepting ends the accepting of connections and waits until those that it
-// had to accept are known.
+// stopAccepting makes Serve stop accepting connections and waits until it has, so
+// that all accepted connections are known.
 func (s *Server) stopAccepting() {
 	s.stopping.Store(true)
 	s.mu.Lock()
