--- a/internal/process/store/follow.go
+++ b/internal/process/store/follow.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// followRetryMin and followRetryMax bound the pause after a failed call. A
-	// pause is drawn at random up to its bound, so that watches that were cut
-	// together do not return together.
+	// followRetryMin and followRetryMax limit the backoff after failed list calls.
+	// Each pause is random, between half of its bound and the bound, so that
+	// followers that lost the store together do not all return at once.
 	followRetryMin = 100 * time.Millisecond
 	followRetryMax = 1 * time.Second
-	// watchCutPause is the longest pause before the list after a watch that failed.
+	// watchCutPause bounds the pause between a failed watch and the next list.
 	watchCutPause = 30 * time.Millisecond
 )
 
-// Follower receives the objects below a prefix.
+// Follower receives the objects whose names begin with a prefix. Its functions are
+// called from the goroutine that runs Follow.
 type Follower struct {
-	// Listed receives all objects, after a start and whenever changes were missed.
+	// Listed receives all objects, at the start and whenever changes may have been
+	// missed.
 	Listed func([]Object)
-	// Changed receives changes in order.
+	// Changed receives later changes in order.
 	Changed func([]Object)
-	// Contact is called after each call, with its error.
+	// Contact is called after each call to the store, with its error or nil.
 	Contact func(error)
 }
 
-// Follow lists the objects below a prefix and watches them until the context
-// ends. After a watch that failed the objects are listed again: a store that
-// drops its history leaves watches without a word of what changed.
+// Follow lists the objects whose names begin with a prefix and watches them until
+// the context ends. After a failed watch it lists them again, because a store that
+// has dropped its history cannot tell what changed in between.
 func Follow(ctx context.Context, s Store, prefix string, f Follower) {
 	pause := followRetryMin
 	for ctx.Err() == nil {
@@ -64,12 +66,15 @@
 	}
 }
 
-// wait pauses for a random time up to the bound and returns the next bound.
+// wait pauses for a random time of at most bound and returns the bound of the next
+// pause, which is twice as long up to followRetryMax.
 func wait(ctx context.Context, bound time.Duration) time.Duration {
 	sleepUpTo(ctx, bound)
 	return min(max(2*bound, followRetryMin), followRetryMax)
 }
 
+// sleepUpTo sleeps for a random time between half of bound and bound, or until the
+// context ends.
 func sleepUpTo(ctx context.Context, bound time.Duration) {
 	timer := time.NewTimer(bound/2 + rand.N(bound/2+1))
 	defer timer.Stop()
--- a/internal/process/store/http.go
+++ b/internal/process/store/http.go
@@ -19,19 +19,19 @@
 const (
 	// defaultCallTimeout bounds a call other than a watch.
 	defaultCallTimeout = 5 * time.Second
-	// watchPoll is how long one long poll waits at the store.
+	// watchPoll is how long the store holds one long poll open.
 	watchPoll = 25 * time.Second
-	// watchGrace is what a poll may take beyond its wait before the connection
-	// counts as lost.
+	// watchGrace is how much longer than watchPoll a long poll may take before the
+	// connection counts as lost.
 	watchGrace = 5 * time.Second
-	// maxResponseBytes bounds what a response may occupy in memory.
+	// maxResponseBytes bounds the memory that a response may take.
 	maxResponseBytes = 256 << 20
 )
 
-// HTTP is the client of a store that speaks HTTP and JSON.
+// HTTP is a client of a store with an HTTP and JSON API.
 //
-// A write whose request was not handed to a connection is Unavailable; one
-// that was, and got no complete answer, is UnknownOutcome. Reads have no
+// A write that fails before it has a connection is Unavailable; one that had a
+// connection and got no complete response is UnknownOutcome. Reads have no
 // effect, so their failures are always Unavailable.
 type HTTP struct {
 	base    string
@@ -40,10 +40,10 @@
 	calls   callCounter
 }
 
-// HTTPOption changes a default of the client.
+// HTTPOption configures an HTTP client.
 type HTTPOption func(*HTTP)
 
-// WithCallTimeout bounds each call other than a watch.
+// WithCallTimeout sets the timeout of each call other than a watch.
 func WithCallTimeout(timeout time.Duration) HTTPOption {
 	return func(h *HTTP) { h.timeout = timeout }
 }
@@ -53,7 +53,7 @@
 	return func(h *HTTP) { h.client = client }
 }
 
-// NewHTTP returns a client of the store at baseURL, e.g. "http://10.0.0.5:7000".
+// NewHTTP returns a client for the store at baseURL, e.g. "http://10.0.0.5:7000".
 func NewHTTP(baseURL string, options ...HTTPOption) *HTTP {
 	h := &HTTP{
 		base:    strings.TrimSuffix(baseURL, "/"),
@@ -69,7 +69,7 @@
 // Close closes idle connections.
 func (h *HTTP) Close() { h.client.CloseIdleConnections() }
 
-// Calls returns the number of calls so far; every long poll of a watch is one.
+// Calls returns the number of calls so far. Each long poll of a watch counts as one.
 func (h *HTTP) Calls() Calls { return h.calls.read() }
 
 // Get implements Store.
@@ -153,7 +153,8 @@
 	return h.exchange(ctx, method, path, body, result)
 }
 
-// exchange sends a request and decodes the answer or the store's refusal.
+// exchange sends a request and decodes the response into result, or into an error
+// if the store refused the call.
 func (h *HTTP) exchange(ctx context.Context, method, path string, body []byte, result any) error {
 	var handedOver atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { handedOver.Store(true) }}
@@ -179,26 +180,27 @@
 	return nil
 }
 
-// lost classifies a call that got no complete answer.
+// lost returns the error for a call that got no complete response.
 func (h *HTTP) lost(cause error, method string, handedOver bool) error {
 	if handedOver && method != http.MethodGet {
-		return fault.Wrap(cause, fault.UnknownOutcome, "read the object back before acting", "the store at %s gave no answer to a write", h.base)
+		return fault.Wrap(cause, fault.UnknownOutcome, "read the object back before acting", "the store at %s did not answer a write", h.base)
 	}
 	return fault.Wrap(cause, fault.Unavailable, "try again; if it lasts, check the platform's store and the network", "the store at %s cannot be reached", h.base)
 }
 
-// refusal turns an answer other than 200 into a typed error. An answer that
-// does not come from the store itself says nothing of a write's effect.
+// refusal turns a response with a status other than 200 into a typed error. A
+// response that is not the store's own, e.g. of a proxy, leaves open whether a
+// write took effect.
 func (h *HTTP) refusal(method string, status int, content []byte) error {
 	var refused WireError
 	if err := json.Unmarshal(content, &refused); err == nil && knownKind(refused.Kind) {
 		return fault.New(refused.Kind, refused.Remedy, "%s", refused.Message)
 	}
-	cause := fault.New(fault.Invalid, "check the store's address", "unexpected status %d", status)
+	cause := fault.New(fault.Invalid, "check the store's address", "unexpected HTTP status %d", status)
 	return h.lost(cause, method, true)
 }
 
-// knownKind reports whether a store may answer with the kind.
+// knownKind reports whether the store may return errors of the kind.
 func knownKind(kind fault.Kind) bool {
 	switch kind {
 	case fault.NotFound, fault.Conflict, fault.Unavailable, fault.UnknownOutcome, fault.Invalid:
@@ -221,7 +223,7 @@
 	return converted
 }
 
-// callCounter counts calls from several goroutines.
+// callCounter counts calls; it is safe for concurrent use.
 type callCounter struct {
 	get, put, delete, list, watch atomic.Int64
 }
--- a/internal/process/store/memory.go
+++ b/internal/process/store/memory.go
@@ -9,17 +9,19 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// historyLength is the number of changes that a Memory store remembers for watches.
+// historyLength is the number of changes that a Memory store keeps for watches.
 const historyLength = 4096
 
-// Memory is a store in this process, for development and tests.
+// Memory is an in-memory store for development and tests.
 type Memory struct {
 	mu       sync.Mutex
 	revision int64
 	objects  map[string]Object
-	history  []Object
-	changed  chan struct{}
-	calls    Calls
+	// history holds the latest changes in ascending order of their versions.
+	history []Object
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	calls   Calls
 }
 
 // NewMemory returns an empty store.
@@ -110,13 +112,13 @@
 	}
 }
 
-// changesSince returns the remembered changes, or a channel that is closed on
-// the next one.
+// changesSince returns the changes after a revision, the current revision, and a
+// channel that is closed at the next change.
 func (m *Memory) changesSince(prefix string, after int64) ([]Object, int64, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.history) > 0 && m.history[0].Version > after+1 {
-		return nil, 0, nil, fault.New(fault.Conflict, "list again", "revision %d is no longer remembered", after)
+		return nil, 0, nil, fault.New(fault.Conflict, "list again", "the changes after revision %d are no longer available", after)
 	}
 	start := sort.Search(len(m.history), func(i int) bool { return m.history[i].Version > after })
 	var changes []Object
@@ -128,7 +130,7 @@
 	return changes, m.revision, m.changed, nil
 }
 
-// record applies a change at the next revision and wakes the watches.
+// record applies a change at the next revision and wakes waiting watches.
 func (m *Memory) record(object Object) {
 	m.revision++
 	object.Version = m.revision
@@ -150,9 +152,9 @@
 }
 
 func tooLarge(name string, size int) error {
-	return fault.New(fault.Invalid, "split the object", "object %q has %d bytes, more than %d", name, size, MaxValueBytes)
+	return fault.New(fault.Invalid, "split the object", "object %q has %d bytes, more than the limit of %d", name, size, MaxValueBytes)
 }
 
 func conflict(name string, expected, found int64) error {
-	return fault.New(fault.Conflict, "read it again and repeat the change", "object %q is at version %d, not %d", name, found, expected)
+	return fault.New(fault.Conflict, "read the object again and repeat the change", "object %q is at version %d, not %d", name, found, expected)
 }
--- a/internal/process/store/resolve.go
+++ b/internal/process/store/resolve.go
@@ -6,11 +6,11 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// PutResolved writes like Put and resolves a lost answer by reading back: own
-// reports whether a stored value is the one of this write, which carries an
-// operation id for that purpose. The error is UnknownOutcome only if reading
-// back failed too, or if the object has moved on so that the write's fate can
-// no longer be seen.
+// PutResolved writes like Put. If the outcome is unknown, it reads the object back;
+// own reports whether a stored value is the one of this write, which carries an
+// operation id for that purpose. The error is UnknownOutcome if the read failed
+// too, if the write is not visible yet, or if another writer has since replaced
+// the object, which hides whether this write took effect.
 func PutResolved(ctx context.Context, s Store, name string, value []byte, expected int64, own func(stored []byte) bool) (int64, error) {
 	version, err := s.Put(ctx, name, value, expected)
 	if !fault.Is(err, fault.UnknownOutcome) {
@@ -24,16 +24,16 @@
 		return 0, notYet(err, name)
 	case readErr == nil:
 		return 0, fault.Wrap(err, fault.UnknownOutcome, "compare the current object with the change and repeat it if it is missing",
-			"object %q is now at version %d, written by somebody else", name, stored.Version)
+			"object %q is now at version %d, written by another operation", name, stored.Version)
 	case fault.Is(readErr, fault.NotFound) && expected == Absent:
 		return 0, notYet(err, name)
 	}
 	return 0, err
 }
 
-// notYet reports a write that is not visible now. It stays an unknown outcome:
-// the store may still be applying it.
+// notYet returns the error for a write that is not visible yet. Its outcome stays
+// unknown because the store may still apply it.
 func notYet(cause error, name string) error {
 	return fault.Wrap(cause, fault.UnknownOutcome, "repeat the write with the same expected version and operation id; it takes effect at most once",
-		"the write of object %q is not visible so far", name)
+		"the write of object %q is not visible yet", name)
 }
--- a/internal/process/store/store.go
+++ b/internal/process/store/store.go
@@ -1,18 +1,18 @@
-// Package store defines the interface to the platform's store, the only place
-// where anything is agreed or kept.
+// Package store defines the interface to the platform's store. The store is the
+// only place where VMs reach agreement and where state is kept durably.
 //
-// Guarantees of every form: versions are positive and rise with every write to
-// the store as a whole; a conditional write takes effect only if the object is
-// at the expected version; a watch delivers every later version of an object
-// or a newer one, in order, never an older one. The forms share the
-// conformance test of package storetest.
+// Guarantees of every implementation: versions are positive and increase with
+// each write to any object of the store; a conditional write takes effect only
+// if the object is at the expected version; a watch delivers versions of an
+// object in order and may skip some, but never the latest one. All
+// implementations pass the conformance test of package storetest.
 package store
 
 import (
 	"context"
 )
 
-// MaxValueBytes is the largest value that the platform's store holds.
+// MaxValueBytes is the size limit of a value in the platform's store.
 const MaxValueBytes = 1 << 20
 
 // Absent is the expected version of an object that must not exist yet.
@@ -23,13 +23,13 @@
 	Name    string
 	Version int64
 	Value   []byte
-	// Deleted is set in watches when the object was removed at Version.
+	// Deleted is set in the results of a watch if the object was removed at Version.
 	Deleted bool
 }
 
-// Store is the platform's object API. Errors are of the kinds NotFound,
-// Conflict (the message names the version found), Unavailable (no effect) and
-// UnknownOutcome (perhaps an effect) of package fault.
+// Store is the platform's object API. Its errors have a kind of package fault:
+// NotFound, Conflict (the message names the version found), Unavailable (the call
+// had no effect), UnknownOutcome (it may have had one) or Invalid.
 type Store interface {
 	// Get returns an object.
 	Get(ctx context.Context, name string) (Object, error)
@@ -39,16 +39,17 @@
 	// Delete removes an object if it is at the expected version.
 	Delete(ctx context.Context, name string, expected int64) error
 	// List returns the objects whose names begin with prefix, and the revision
-	// from which a watch continues.
+	// to pass to Watch.
 	List(ctx context.Context, prefix string) ([]Object, int64, error)
-	// Watch waits until objects with the prefix have changed after the revision
-	// or the context ends, and returns the changes and the revision to go on
-	// from. A waiting watch counts as one call. A revision that the store no
-	// longer remembers is answered with Conflict: list again.
+	// Watch waits until objects with the prefix change after the given revision or
+	// the context ends. It returns the changes and the revision for the next call;
+	// the end of the context is not an error. If the store no longer has the
+	// changes since that revision, Watch returns Conflict and the caller has to
+	// list again.
 	Watch(ctx context.Context, prefix string, after int64) ([]Object, int64, error)
 }
 
-// Calls counts the calls made to a store, by operation.
+// Calls holds the number of calls made to a store, by operation.
 type Calls struct {
 	Get, Put, Delete, List, Watch int64
 }
--- a/internal/process/store/storetest/storetest.go
+++ b/internal/process/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest holds the conformance test that every form of the store
-// passes.
+// Package storetest provides the conformance test for implementations of the
+// store.
 package storetest
 
 import (
@@ -15,16 +15,17 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/store"
 )
 
-// watchBound is how long a watch may take to deliver a change.
+// watchBound bounds the time in which a watch must deliver all changes.
 const watchBound = 5 * time.Second
 
-// Form is a form of the store under test.
+// Form is a store under test.
 type Form interface {
 	store.Store
 	store.Counter
 }
 
-// Run checks the guarantees of package store. open returns an empty store.
+// Run checks the guarantees that package store documents. open must return an
+// empty store each time.
 func Run(t *testing.T, open func(t *testing.T) Form) {
 	t.Run("conditional writes", func(t *testing.T) { conditionalWrites(t, open(t)) })
 	t.Run("list", func(t *testing.T) { list(t, open(t)) })
@@ -99,7 +100,7 @@
 		assert.Assert(t, revision > after)
 		for _, change := range changes {
 			assert.Equal(t, change.Name, "vms/a")
-			assert.Assert(t, change.Version > last.Version, "changes come in order")
+			assert.Assert(t, change.Version > last.Version, "changes must arrive in order")
 			last = change
 		}
 		after = revision
--- a/internal/process/store/wire.go
+++ b/internal/process/store/wire.go
@@ -2,9 +2,9 @@
 
 import "github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 
-// Paths of the HTTP form of the store.
+// Paths of the store's HTTP API.
 const (
-	// PathObjects is followed by the object's name: GET, PUT and DELETE.
+	// PathObjects is followed by the object's name; it supports GET, PUT and DELETE.
 	PathObjects = "/v1/objects/"
 	// PathList takes the query parameter prefix.
 	PathList = "/v1/list"
@@ -12,7 +12,7 @@
 	PathWatch = "/v1/watch"
 )
 
-// Query parameters of the HTTP form.
+// Query parameters of the store's HTTP API.
 const (
 	ParamExpected   = "expected"
 	ParamPrefix     = "prefix"
@@ -20,7 +20,7 @@
 	ParamWaitMillis = "waitMillis"
 )
 
-// WireObject is an object in the HTTP form. Value is base64 in JSON.
+// WireObject is the JSON encoding of an object. Value is base64 in JSON.
 type WireObject struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
@@ -28,19 +28,19 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// WireWritten answers a successful write.
+// WireWritten is the response to a successful write or deletion.
 type WireWritten struct {
 	Version int64 `json:"version"`
 }
 
-// WireObjects answers a list or a watch.
+// WireObjects is the response to a list or a watch.
 type WireObjects struct {
 	Objects  []WireObject `json:"objects"`
 	Revision int64        `json:"revision"`
 }
 
-// WireError answers a call that the store refused. Kind is one of the store's
-// error kinds.
+// WireError is the response to a call that the store refused. Kind is one of the
+// kinds that Store documents.
 type WireError struct {
 	Kind    fault.Kind `json:"kind"`
 	Message string     `json:"message"`
