--- a/internal/process/fault/fault.go
+++ b/internal/process/fault/fault.go
@@ -1,5 +1,5 @@
 // Package fault defines the typed errors of the project. Every error that
-// reaches an operator names what happened and the remedy.
+// reaches an operator says what happened and how to remedy it.
 package fault
 
 import (
@@ -8,34 +8,36 @@
 	"github.com/juju/errors"
 )
 
-// Kind classifies an error; callers branch on it with Is, never on the text.
+// Kind classifies an error. Code branches on it with Is, never on the text.
 type Kind string
 
 const (
-	// Invalid: the input is wrong; the message names the field.
+	// Invalid means that the input is wrong; the message names the field.
 	Invalid Kind = "invalid"
-	// Conflict: somebody else changed the object first.
+	// Conflict means that the object was changed by another writer first.
 	Conflict Kind = "conflict"
-	// NotFound: the object does not exist.
+	// NotFound means that the object does not exist.
 	NotFound Kind = "not-found"
-	// Unavailable: the call did not take effect; it may be tried again.
+	// Unavailable means that the call had no effect and may be retried.
 	Unavailable Kind = "unavailable"
-	// UnknownOutcome: the call may have taken effect; read back before acting.
+	// UnknownOutcome means that the call may have taken effect: read the object
+	// back before acting.
 	UnknownOutcome Kind = "unknown-outcome"
-	// Refused: a rule of the system forbids the operation.
+	// Refused means that a rule of the system forbids the operation.
 	Refused Kind = "refused"
 )
 
-// Error is an error with its kind and remedy.
+// Error is an error with a kind and a remedy.
 type Error struct {
 	Kind    Kind
 	Message string
-	// Remedy is what the reader can do about it; it is never empty.
+	// Remedy says what the operator can do about the error; it is never empty.
 	Remedy string
 	Cause  error
 }
 
-// Error returns message, cause and remedy in one line.
+// Error returns the message, the cause and the remedy on one line, as
+// "message: cause; remedy".
 func (e *Error) Error() string {
 	text := e.Message
 	if e.Cause != nil {
@@ -47,13 +49,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// New returns an error of a kind. The remedy completes the sentence that the
-// message begins.
+// New returns an error of the kind. The message is formatted from format and
+// args; Error appends the remedy to it.
 func New(kind Kind, remedy, format string, args ...any) error {
 	return &Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy}
 }
 
-// Wrap returns an error of a kind with its cause.
+// Wrap returns an error of the kind with a cause. Its message and remedy are as
+// in New.
 func Wrap(cause error, kind Kind, remedy, format string, args ...any) error {
 	return &Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy, Cause: cause}
 }
--- a/internal/process/loop/loop.go
+++ b/internal/process/loop/loop.go
@@ -1,8 +1,8 @@
 // Package loop runs all changes of control state on one goroutine.
 //
-// Control state needs no locks: whoever wants to change it posts a function.
-// A posted function must not block; input and output run on goroutines of
-// their own that post their results back.
+// Control state needs no locks: code that changes it posts a function. A posted
+// function must not block; I/O runs on goroutines of its own, which post their
+// results back.
 package loop
 
 import (
@@ -13,19 +13,22 @@
 
 // Loop runs posted functions one at a time, in the order of posting.
 type Loop struct {
-	mu     sync.Mutex
-	queue  []func()
-	wake   chan struct{}
+	mu    sync.Mutex
+	queue []func()
+	// wake has one element while Run has to look at the queue.
+	wake chan struct{}
+	// done is closed when Run has returned.
 	done   chan struct{}
 	closed bool
 }
 
-// New returns a loop that starts with Run.
+// New returns a loop. Posted functions wait until Run is called.
 func New() *Loop {
 	return &Loop{wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// Post queues a function and returns at once. After the end of Run it does nothing.
+// Post queues a function and returns immediately. Functions posted after Run has
+// returned are dropped.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	if !l.closed {
@@ -39,7 +42,7 @@
 }
 
 // Call runs a function on the loop and waits for it. It reports false if the
-// loop has ended. Calling it from the loop itself would never return.
+// loop has ended. A posted function must not use Call, which would deadlock.
 func (l *Loop) Call(f func()) bool {
 	finished := make(chan struct{})
 	l.Post(func() { f(); close(finished) })
@@ -51,8 +54,8 @@
 	}
 }
 
-// Every posts a function at each interval until the context ends. A tick is
-// left out while the previous one is still queued.
+// Every posts a function at each interval until the context ends. It skips a tick
+// while the function of the previous one is still queued.
 func (l *Loop) Every(ctx context.Context, interval time.Duration, f func()) {
 	go func() {
 		ticker := time.NewTicker(interval)
@@ -73,7 +76,7 @@
 	}()
 }
 
-// Run executes posted functions until the context ends.
+// Run executes posted functions until the context ends. It is called once.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.close()
 	for {
--- a/internal/process/loop/loop_test.go
+++ b/internal/process/loop/loop_test.go
@@ -43,7 +43,7 @@
 	for l.Call(func() {}) {
 		time.Sleep(time.Millisecond)
 	}
-	l.Post(func() { t.Error("a function ran after the end") })
+	l.Post(func() { t.Error("a function ran after the loop ended") })
 }
 
 func TestEveryLeavesOutTicksWhileOneIsQueued(t *testing.T) {
@@ -56,7 +56,7 @@
 	l.mu.Lock()
 	queued := len(l.queue)
 	l.mu.Unlock()
-	assert.Equal(t, queued, 1, "the loop does not run, so one tick waits")
+	assert.Equal(t, queued, 1, "while the loop is not running, one tick is queued")
 	go l.Run(ctx)
 	assert.Assert(t, l.Call(func() {}))
 }
