--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -41,31 +41,31 @@
 	// connectTimeout bounds the connection setup to a target. A handshake takes a
 	// few milliseconds, but TCP retransmits a lost SYN only after a second.
 	connectTimeout = 150 * time.Millisecond
-	// targetIdle is the idle timeout of connections to targets. It is shorter than
+	// targetIdleTimeout is the idle timeout of connections to targets. It is shorter than
 	// the 10 s after which targets close theirs.
-	targetIdle = 8 * time.Second
+	targetIdleTimeout = 8 * time.Second
 	// headerTimeout and idleTimeout apply to the readiness and metrics endpoints,
 	// and to callers while no configuration is known.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// usualHeaderBytes bounds a request head while no configuration is known.
-	usualHeaderBytes = 16 << 10
-	// balancerNotice is how long the load balancer may keep opening connections
+	// defaultHeaderBytes bounds a request head while no configuration is known.
+	defaultHeaderBytes = 16 << 10
+	// balancerDelay is how long the load balancer may keep opening connections
 	// after this VM has become unready: it takes two failed health checks, a
 	// second apart.
-	balancerNotice = 2500 * time.Millisecond
-	// latestRequest is the latest time after SIGTERM at which a request may be
+	balancerDelay = 2500 * time.Millisecond
+	// requestCutoff is the latest time after SIGTERM at which a request may be
 	// accepted although its target may still be executing it when the stop has to
 	// end (such a request counts as LOST in the users' rules).
-	latestRequest = 3 * time.Second
+	requestCutoff = 3 * time.Second
 	// firstRequestWait is how long a stop waits for the first request on a
 	// connection that was opened while this VM still listened.
-	firstRequestWait = latestRequest - balancerNotice
+	firstRequestWait = requestCutoff - balancerDelay
 	// stopMargin is the time left between the end of the stop and the moment the
 	// platform kills the process.
 	stopMargin = 400 * time.Millisecond
-	// stopPoll is the interval at which a stop checks for requests in flight.
-	stopPoll = 20 * time.Millisecond
+	// stopPollInterval is the interval at which a stop checks for requests in flight.
+	stopPollInterval = 20 * time.Millisecond
 )
 
 // Settings describe the VM and the deployment that a gateway runs in.
@@ -146,7 +146,7 @@
 	broker := g.settings.Broker
 	broker.NotOwner = g.notOwner
 	g.desk = permits.New(permits.Config{
-		Self: g.self.VM, Broker: broker, Sender: g.transport, View: g.view.Load, Alive: g.hears,
+		Self: g.self.VM, Broker: broker, Sender: g.transport, View: g.view.Load, Alive: g.brokerAlive,
 	})
 	g.coordinator = coordinator.New(coordinator.Config{
 		Self:       g.self,
@@ -157,7 +157,7 @@
 	})
 	g.pools = forward.NewPools(target.PoolOptions{
 		RequestIDHeader: platform.Dialect.RequestIDHeader(), Unframed: true, SkipStray: true,
-		DialTimeout: connectTimeout, MaxIdle: targetIdle,
+		DialTimeout: connectTimeout, MaxIdle: targetIdleTimeout,
 	})
 	g.handler = forward.New(forward.Config{
 		Domain: g.settings.FailureDomain, Dialect: platform.Dialect, Permits: g.desk, View: g.view.Load,
@@ -199,14 +199,14 @@
 	return m.Address, ok
 }
 
-// hears reports whether a broker is alive. All brokers run on the leader, so the
+// brokerAlive reports whether a broker is alive. All brokers run on the leader, so the
 // VM does not matter.
-func (g *Gateway) hears(string) bool { return g.coordinator.ReceivesHeartbeats() }
+func (g *Gateway) brokerAlive(string) bool { return g.coordinator.ReceivesHeartbeats() }
 
 func (g *Gateway) publish(view *fleet.View) {
-	former := g.view.Swap(view)
+	previous := g.view.Swap(view)
 	g.desk.Update(view)
-	for vm := range former.Members {
+	for vm := range previous.Members {
 		if _, known := view.Members[vm]; !known {
 			g.desk.Forget(vm)
 		}
@@ -240,34 +240,34 @@
 // Run serves until the context ends, then stops gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
 	// The components outlive ctx because a graceful stop still needs them.
-	parts, stopParts := context.WithCancel(context.Background())
-	defer stopParts()
-	group, parts := errgroup.WithContext(parts)
-	group.Go(func() error { g.loop.Run(parts); return nil })
-	group.Go(func() error { return g.transport.Run(parts) })
-	group.Go(func() error { g.pools.Run(parts); return nil })
+	componentCtx, stopComponents := context.WithCancel(context.Background())
+	defer stopComponents()
+	group, componentCtx := errgroup.WithContext(componentCtx)
+	group.Go(func() error { g.loop.Run(componentCtx); return nil })
+	group.Go(func() error { return g.transport.Run(componentCtx) })
+	group.Go(func() error { g.pools.Run(componentCtx); return nil })
 	group.Go(func() error {
 		if err := g.callers.Serve(g.listeners["callers"]); err != caller.ErrStopped {
 			return err
 		}
 		return nil
 	})
-	probes := &http.Server{Handler: g.readiness(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	group.Go(func() error { return serve(probes, g.listeners["ready"]) })
-	metrics := &http.Server{Handler: g.metrics.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	group.Go(func() error { return serve(metrics, g.listeners["metrics"]) })
-	g.coordinator.Start(parts)
+	readyServer := &http.Server{Handler: g.readyHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	group.Go(func() error { return serve(readyServer, g.listeners["ready"]) })
+	metricsServer := &http.Server{Handler: g.metrics.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	group.Go(func() error { return serve(metricsServer, g.listeners["metrics"]) })
+	g.coordinator.Start(componentCtx)
 	events.DaemonStarted.Log(&g.logger).Str("incarnation", g.self.Incarnation).
 		Str("callers", g.settings.Callers).Str("peers", g.settings.Peers).Send()
 
 	select {
 	case <-ctx.Done():
-	case <-parts.Done():
+	case <-componentCtx.Done():
 	}
 	g.stop()
-	_, _ = probes.Close(), metrics.Close()
+	_, _ = readyServer.Close(), metricsServer.Close()
 	g.transport.Close()
-	stopParts()
+	stopComponents()
 	err := group.Wait()
 	g.pools.Close()
 	_ = g.metrics.Close()
@@ -280,7 +280,7 @@
 func (g *Gateway) callerLimits() caller.Limits {
 	config := g.view.Load().Config
 	if config == nil {
-		return caller.Limits{HeaderBytes: usualHeaderBytes, HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+		return caller.Limits{HeaderBytes: defaultHeaderBytes, HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	}
 	return caller.Limits{
 		HeaderBytes: config.Limits.HeaderBytes, HeaderTimeout: config.Limits.HeaderTimeout, IdleTimeout: config.Limits.IdleTimeout,
@@ -295,7 +295,7 @@
 	return nil
 }
 
-func (g *Gateway) readiness() http.Handler {
+func (g *Gateway) readyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -311,15 +311,15 @@
 	events.DaemonStopping.Log(&g.logger).Int("in_flight", g.handler.InFlight()).Send()
 	g.leaving.Store(true)
 	g.loop.Post(g.coordinator.Leave)
-	limit := g.settings.StopWithin - stopMargin
-	time.Sleep(min(balancerNotice, limit))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limit))
+	timeout := g.settings.StopWithin - stopMargin
+	time.Sleep(min(balancerDelay, timeout))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(timeout))
 	defer cancel()
 	if err := g.callers.Shutdown(ctx); err != nil {
 		g.logger.Warn().Err(err).Int("in_flight", g.handler.InFlight()).Msg("the stop ends with requests still in flight")
 	}
 	for g.handler.InFlight() > 0 && ctx.Err() == nil {
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 	g.callers.Close()
 }
