--- a/internal/connection/caller/backlog.go
+++ b/internal/connection/caller/backlog.go
@@ -13,11 +13,11 @@
 // no longer returns them. Connections that are opened between the last accept and the
 // close are still reset.
 func takeBacklog(listener net.Listener) (waiting []net.Conn) {
-	source, ok := listener.(syscall.Conn)
+	sysConn, ok := listener.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := source.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return nil
 	}
--- a/internal/connection/caller/caller_test.go
+++ b/internal/connection/caller/caller_test.go
@@ -19,8 +19,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/connection/caller"
 )
 
-// bound is the timeout of every operation in these tests.
-const bound = 5 * time.Second
+// testTimeout is the timeout of every operation in these tests.
+const testTimeout = 5 * time.Second
 
 type fixture struct {
 	server  *caller.Server
@@ -28,10 +28,10 @@
 }
 
 func start(t *testing.T, handler http.HandlerFunc) *fixture {
-	return startWith(t, handler, usualLimits)
+	return startWith(t, handler, defaultLimits)
 }
 
-var usualLimits = caller.Limits{HeaderBytes: 8 << 10, HeaderTimeout: bound, IdleTimeout: bound}
+var defaultLimits = caller.Limits{HeaderBytes: 8 << 10, HeaderTimeout: testTimeout, IdleTimeout: testTimeout}
 
 func startWith(t *testing.T, handler http.HandlerFunc, limits caller.Limits) *fixture {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,7 +50,7 @@
 	conn, err := net.Dial("tcp", f.address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(bound))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	return conn, bufio.NewReader(conn)
 }
 
@@ -95,10 +95,10 @@
 // TestUnsafeRequestsWaitForThoseBefore checks that requests with side effects on one
 // connection run one after another.
 func TestUnsafeRequestsWaitForThoseBefore(t *testing.T) {
-	var running, most atomic.Int32
+	var running, maxRunning atomic.Int32
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
-		if now := running.Add(1); now > most.Load() {
-			most.Store(now)
+		if now := running.Add(1); now > maxRunning.Load() {
+			maxRunning.Store(now)
 		}
 		time.Sleep(20 * time.Millisecond)
 		running.Add(-1)
@@ -110,7 +110,7 @@
 	for range 3 {
 		receive(t, reader)
 	}
-	assert.Equal(t, most.Load(), int32(1))
+	assert.Equal(t, maxRunning.Load(), int32(1))
 }
 
 // TestCloseCancelsEverything checks that a close by the caller cancels all its
@@ -121,7 +121,7 @@
 		select {
 		case <-r.Context().Done():
 			canceled <- struct{}{}
-		case <-time.After(bound):
+		case <-time.After(testTimeout):
 		}
 		panic(http.ErrAbortHandler)
 	})
@@ -161,9 +161,9 @@
 	assert.Equal(t, body, "abcde")
 	assert.Equal(t, response.ContentLength, int64(-1))
 	send(t, conn, "POST /expect HTTP/1.1\nHost: h\nExpect: 100-continue\nContent-Length: 1\n\n")
-	early, err := http.ReadResponse(reader, nil)
+	interim, err := http.ReadResponse(reader, nil)
 	assert.NilError(t, err)
-	assert.Equal(t, early.StatusCode, http.StatusContinue)
+	assert.Equal(t, interim.StatusCode, http.StatusContinue)
 	send(t, conn, "x")
 	_, body = receive(t, reader)
 	assert.Equal(t, body, "x")
@@ -288,7 +288,7 @@
 func (f *fixture) shutdown() <-chan error {
 	stopped := make(chan error, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), bound)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		stopped <- f.server.Shutdown(ctx)
 	}()
@@ -324,31 +324,31 @@
 	assert.Assert(t, time.Since(began) < 2*wait+time.Second, "the shutdown took %s", time.Since(began))
 }
 
-// lateListener accepts nothing before the server stops it: connections wait in the
+// backlogListener accepts nothing before the server stops it: connections wait in the
 // backlog, as they do while the accepting goroutine is not scheduled.
-type lateListener struct {
+type backlogListener struct {
 	*net.TCPListener
 	once sync.Once
-	// told is closed when the server has set a deadline or closed the listener.
-	told chan struct{}
+	// stopped is closed when the server has set a deadline or closed the listener.
+	stopped chan struct{}
 }
 
-func (l *lateListener) tell() { l.once.Do(func() { close(l.told) }) }
+func (l *backlogListener) signalStop() { l.once.Do(func() { close(l.stopped) }) }
 
-func (l *lateListener) Accept() (net.Conn, error) {
-	<-l.told
+func (l *backlogListener) Accept() (net.Conn, error) {
+	<-l.stopped
 	return l.TCPListener.Accept()
 }
 
-func (l *lateListener) SetDeadline(at time.Time) error {
+func (l *backlogListener) SetDeadline(at time.Time) error {
 	err := l.TCPListener.SetDeadline(at)
-	l.tell()
+	l.signalStop()
 	return err
 }
 
-func (l *lateListener) Close() error {
+func (l *backlogListener) Close() error {
 	err := l.TCPListener.Close()
-	l.tell()
+	l.signalStop()
 	return err
 }
 
@@ -358,10 +358,10 @@
 func TestShutdownServesTheBacklog(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	f := startOn(t, &lateListener{TCPListener: listener.(*net.TCPListener), told: make(chan struct{})}, func(w http.ResponseWriter, r *http.Request) {
+	f := startOn(t, &backlogListener{TCPListener: listener.(*net.TCPListener), stopped: make(chan struct{})}, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.URL.Path)
-	}, usualLimits)
-	f.server.FirstRequestWait = bound / 2
+	}, defaultLimits)
+	f.server.FirstRequestWait = testTimeout / 2
 	// Give Serve the time to register the listener.
 	time.Sleep(50 * time.Millisecond)
 	var conns []net.Conn
--- a/internal/connection/caller/conn.go
+++ b/internal/connection/caller/conn.go
@@ -37,9 +37,9 @@
 type conn struct {
 	server *Server
 	socket net.Conn
-	// source is what reader reads from: the socket, with a limit for request heads.
-	source *headLimiter
-	reader *bufio.Reader
+	// limiter is what reader reads from: the socket, with a limit for request heads.
+	limiter *headLimiter
+	reader  *bufio.Reader
 	// writer is used by the responses in turn.
 	writer *bufio.Writer
 	// ctx is the context of all requests. It is canceled when the caller leaves or the
@@ -50,8 +50,8 @@
 	mu sync.Mutex
 	// pending is the number of requests whose response is not complete.
 	pending int
-	// slots is signalled when a request ends or the connection is closed.
-	slots *sync.Cond
+	// slotFreed is signalled when a request ends or the connection is closed.
+	slotFreed *sync.Cond
 	// closing is set when no further request will be answered.
 	closing bool
 	// closed is set when the socket is closed.
@@ -63,47 +63,47 @@
 	// reading is set while a request is being read.
 	reading bool
 
-	// last is set when a request has been read that closes the connection. Only the
+	// lastRead is set when a request has been read that closes the connection. Only the
 	// reading goroutine uses it.
-	last bool
+	lastRead bool
 }
 
 func newConn(s *Server, socket net.Conn) *conn {
-	c := &conn{server: s, socket: socket, source: &headLimiter{source: socket}}
-	c.reader = bufio.NewReaderSize(c.source, readBuffer)
+	c := &conn{server: s, socket: socket, limiter: &headLimiter{source: socket}}
+	c.reader = bufio.NewReaderSize(c.limiter, readBuffer)
 	c.writer = bufio.NewWriterSize(socket, writeBuffer)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.slots = sync.NewCond(&c.mu)
+	c.slotFreed = sync.NewCond(&c.mu)
 	return c
 }
 
 // serve reads and starts requests until the connection ends.
 func (c *conn) serve() {
-	defer c.server.forget(c)
+	defer c.server.removeConn(c)
 	defer c.cancel()
 	turn := make(chan struct{})
 	close(turn)
 	for {
 		request, err := c.readRequest()
 		if err != nil {
-			c.readFailed(err, turn)
+			c.closeAfterReadError(err, turn)
 			return
 		}
 		next := make(chan struct{})
-		body, started := c.startRequest(request, turn, next)
+		bodyRead, started := c.startRequest(request, turn, next)
 		if !started {
 			<-turn
-			c.finish()
+			c.closeGracefully()
 			return
 		}
 		turn = next
-		if body != nil {
+		if bodyRead != nil {
 			// The next request head follows the body.
-			<-body
+			<-bodyRead
 		}
 		if !c.waitForSlot() {
 			<-turn
-			c.finish()
+			c.closeGracefully()
 			return
 		}
 	}
@@ -112,28 +112,28 @@
 // readRequest waits for a request and reads its head.
 func (c *conn) readRequest() (*http.Request, error) {
 	limits := c.server.Limits()
-	c.waitIdle(limits)
+	c.beginWaiting(limits)
 	if _, err := c.reader.Peek(1); err != nil {
-		return nil, errIdle
+		return nil, errNoRequest
 	}
-	if c.last {
-		return nil, errLast
+	if c.lastRead {
+		return nil, errAfterLast
 	}
 	if !c.beginReading() {
-		return nil, errIdle
+		return nil, errNoRequest
 	}
 	_ = c.socket.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
-	c.source.limit(limits.HeaderBytes)
+	c.limiter.setLimit(limits.HeaderBytes)
 	request, err := http.ReadRequest(c.reader)
-	c.source.unlimited()
+	c.limiter.removeLimit()
 	_ = c.socket.SetReadDeadline(time.Time{})
-	if err != nil && c.source.err != nil {
-		err = c.source.err
+	if err != nil && c.limiter.err != nil {
+		err = c.limiter.err
 	}
 	if err != nil {
 		return nil, err
 	}
-	c.last = request.Close || !request.ProtoAtLeast(1, 1)
+	c.lastRead = request.Close || !request.ProtoAtLeast(1, 1)
 	return request, checkHead(request)
 }
 
@@ -143,7 +143,7 @@
 func checkHead(request *http.Request) error {
 	for name := range request.Header {
 		if strings.Contains(name, " ") {
-			return errName
+			return errHeaderName
 		}
 	}
 	switch {
@@ -151,7 +151,7 @@
 		if request.Host == "" {
 			return errNoHost
 		}
-	case !safe(request.Method) && request.Header.Get("Content-Length") == "":
+	case !isSafe(request.Method) && request.Header.Get("Content-Length") == "":
 		// net/http ignores Transfer-Encoding in an HTTP/1.0 request.
 		return errNoLength
 	}
@@ -159,11 +159,11 @@
 }
 
 var (
-	errIdle     = errors.New("the connection ended before another request")
-	errLast     = errors.New("a previous request closes the connection")
-	errNoHost   = errors.New("the request has no Host header")
-	errName     = errors.New("the request has a header name with a space")
-	errNoLength = errors.New("the HTTP/1.0 request has no Content-Length")
+	errNoRequest  = errors.New("the connection ended before another request")
+	errAfterLast  = errors.New("a previous request closes the connection")
+	errNoHost     = errors.New("the request has no Host header")
+	errHeaderName = errors.New("the request has a header name with a space")
+	errNoLength   = errors.New("the HTTP/1.0 request has no Content-Length")
 )
 
 // beginReading records that a request is being read. It reports false if the
@@ -178,9 +178,9 @@
 	return true
 }
 
-// waitIdle records that no request is being read and sets the deadline for the
+// beginWaiting records that no request is being read and sets the deadline for the
 // next one. There is none while requests are in flight.
-func (c *conn) waitIdle(limits Limits) {
+func (c *conn) beginWaiting(limits Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = false
@@ -206,7 +206,7 @@
 // response is complete, next when this one is. It returns a channel that is closed
 // when the body has been read or given up, or nil if there is no body. It reports
 // false if a response has meanwhile announced that the connection closes.
-func (c *conn) startRequest(request *http.Request, turn, next chan struct{}) (body chan struct{}, started bool) {
+func (c *conn) startRequest(request *http.Request, turn, next chan struct{}) (bodyRead chan struct{}, started bool) {
 	c.mu.Lock()
 	c.reading = false
 	if c.closing {
@@ -224,7 +224,7 @@
 	request = request.WithContext(c.ctx)
 	request.RemoteAddr = c.socket.RemoteAddr().String()
 	w.request = request
-	if !safe(request.Method) {
+	if !isSafe(request.Method) {
 		// Requests with side effects run only after all previous ones.
 		<-turn
 	}
@@ -232,22 +232,22 @@
 	return done, true
 }
 
-// safe reports whether requests with the method have no side effects and may run
+// isSafe reports whether requests with the method have no side effects and may run
 // concurrently.
-func safe(method string) bool { return method == http.MethodGet || method == http.MethodHead }
+func isSafe(method string) bool { return method == http.MethodGet || method == http.MethodHead }
 
 // run calls the handler and completes its response.
-func (c *conn) run(request *http.Request, w *response, next, body chan struct{}) {
+func (c *conn) run(request *http.Request, w *response, next, bodyRead chan struct{}) {
 	aborted := true
 	defer func() {
-		if problem := recover(); problem != nil && problem != http.ErrAbortHandler {
-			panic(problem)
+		if recovered := recover(); recovered != nil && recovered != http.ErrAbortHandler {
+			panic(recovered)
 		}
 		if aborted || w.finish() != nil {
-			w.breakOff()
+			w.markIncomplete()
 			c.abort()
 		}
-		if body != nil {
+		if bodyRead != nil {
 			request.Body.(*callerBody).finish()
 		}
 		c.requestDone(w)
@@ -269,7 +269,7 @@
 	} else if !c.reading {
 		c.setIdleDeadline(limits)
 	}
-	c.slots.Broadcast()
+	c.slotFreed.Broadcast()
 }
 
 // waitForSlot waits while maxPipelined requests are in flight. It reports false if
@@ -278,28 +278,28 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.pending >= maxPipelined && !c.closing {
-		c.slots.Wait()
+		c.slotFreed.Wait()
 	}
 	return !c.closing
 }
 
-// readFailed closes the connection after readRequest has failed. An invalid request
+// closeAfterReadError closes the connection after readRequest has failed. An invalid request
 // is answered before.
-func (c *conn) readFailed(err error, turn chan struct{}) {
+func (c *conn) closeAfterReadError(err error, turn chan struct{}) {
 	var status int
 	switch {
-	case errors.Is(err, errIdle), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), isNetwork(err):
+	case errors.Is(err, errNoRequest), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), isNetError(err):
 		if c.isClosing() {
 			<-turn
-			c.finish()
+			c.closeGracefully()
 			return
 		}
 		// The caller has closed the connection: cancel its requests.
 		c.abort()
 		return
-	case errors.Is(err, errLast):
+	case errors.Is(err, errAfterLast):
 		<-turn
-		c.finish()
+		c.closeGracefully()
 		return
 	case errors.Is(err, errHeadTooLarge):
 		status = http.StatusRequestHeaderFieldsTooLarge
@@ -309,12 +309,12 @@
 	<-turn
 	_, _ = io.WriteString(c.writer, "HTTP/1.1 "+statusLine(status)+"\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	_ = c.writer.Flush()
-	c.finish()
+	c.closeGracefully()
 }
 
-func isNetwork(err error) bool {
-	var network net.Error
-	return errors.As(err, &network)
+func isNetError(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError)
 }
 
 func (c *conn) isClosing() bool {
@@ -326,11 +326,11 @@
 // drain closes the connection if it is idle, or makes it close after the responses
 // to its requests. If waits is set, a connection that has had no request yet stays
 // open. While a request is being read it does nothing; Shutdown calls it again.
-func (c *conn) drain(waits bool) {
+func (c *conn) drain(keepUnused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.reading, waits && !c.used:
+	case c.reading, keepUnused && !c.used:
 	case c.pending > 0:
 		c.closing = true
 	default:
@@ -341,23 +341,23 @@
 	}
 }
 
-// endWith reports whether the connection closes after the response that is about to
+// decideClose reports whether the connection closes after the response that is about to
 // be written, and records it. It always does if must is set, as when the caller
 // asked for it. If the handler (wanted) or a shutdown asks for it, it does only
 // when no other request is in flight or being read.
-func (c *conn) endWith(must, wanted bool) bool {
+func (c *conn) decideClose(required, wanted bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if must || (wanted || c.closing || c.server.stopping.Load()) && c.pending == 1 && !c.reading {
+	if required || (wanted || c.closing || c.server.stopping.Load()) && c.pending == 1 && !c.reading {
 		c.closing = true
 		return true
 	}
 	return false
 }
 
-// finish closes the connection after its last response. It first closes the write
+// closeGracefully closes the connection after its last response. It first closes the write
 // side and reads on for up to lingerTime, so that the caller gets the response.
-func (c *conn) finish() {
+func (c *conn) closeGracefully() {
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 		_ = tcp.SetReadDeadline(time.Now().Add(lingerTime))
@@ -370,11 +370,11 @@
 func (c *conn) abort() {
 	c.mu.Lock()
 	c.closing = true
-	already := c.closed
+	wasClosed := c.closed
 	c.closed = true
-	c.slots.Broadcast()
+	c.slotFreed.Broadcast()
 	c.mu.Unlock()
-	if !already {
+	if !wasClosed {
 		c.cancel()
 		_ = c.socket.Close()
 	}
--- a/internal/connection/caller/request.go
+++ b/internal/connection/caller/request.go
@@ -14,31 +14,31 @@
 type headLimiter struct {
 	source  io.Reader
 	limited bool
-	// left is the number of bytes that may still be read.
-	left int
+	// remaining is the number of bytes that may still be read.
+	remaining int
 	// err is the error of the last read, which http.ReadRequest hides.
 	err error
 }
 
 var errHeadTooLarge = errors.New("the request head is too large")
 
-// limit allows a head of the given size. The read buffer is added because the reader
+// setLimit allows a head of the given size. The read buffer is added because the reader
 // may read beyond the head.
-func (l *headLimiter) limit(bytes int) { l.limited, l.left = true, bytes+readBuffer }
+func (l *headLimiter) setLimit(bytes int) { l.limited, l.remaining = true, bytes+readBuffer }
 
-func (l *headLimiter) unlimited() { l.limited = false }
+func (l *headLimiter) removeLimit() { l.limited = false }
 
 // Read implements io.Reader.
 func (l *headLimiter) Read(p []byte) (int, error) {
-	if l.limited && l.left <= 0 {
+	if l.limited && l.remaining <= 0 {
 		l.err = errHeadTooLarge
 		return 0, l.err
 	}
 	if l.limited {
-		p = p[:min(len(p), l.left)]
+		p = p[:min(len(p), l.remaining)]
 	}
 	n, err := l.source.Read(p)
-	l.left -= n
+	l.remaining -= n
 	l.err = err
 	return n, err
 }
@@ -47,16 +47,16 @@
 type callerBody struct {
 	conn   *conn
 	source io.ReadCloser
-	// expects is set while the caller waits for 100 Continue before it sends the
+	// expectsContinue is set while the caller waits for 100 Continue before it sends the
 	// body.
-	expects bool
-	once    sync.Once
+	expectsContinue bool
+	once            sync.Once
 	// done is closed when the body has been read or given up.
 	done chan struct{}
 
 	mu sync.Mutex
-	// ended is set when the body has been read to its end.
-	ended bool
+	// readToEnd is set when the body has been read to its end.
+	readToEnd bool
 	// err is returned by further reads.
 	err error
 
@@ -68,9 +68,9 @@
 // wrapBody returns the body of a request. It closes done when the body has been read
 // to its end or given up.
 func (c *conn) wrapBody(request *http.Request, done chan struct{}) *callerBody {
-	expects := strings.EqualFold(request.Header.Get("Expect"), "100-continue")
+	expectsContinue := strings.EqualFold(request.Header.Get("Expect"), "100-continue")
 	request.Header.Del("Expect")
-	return &callerBody{conn: c, source: request.Body, expects: expects, done: done}
+	return &callerBody{conn: c, source: request.Body, expectsContinue: expectsContinue, done: done}
 }
 
 // Read implements io.Reader.
@@ -80,20 +80,20 @@
 	if b.err != nil {
 		return 0, b.err
 	}
-	if b.expects {
-		b.expects = false
-		if err := b.conn.sayContinue(); err != nil {
+	if b.expectsContinue {
+		b.expectsContinue = false
+		if err := b.conn.sendContinue(); err != nil {
 			return 0, err
 		}
 	}
-	b.readUntil(time.Now().Add(bodyTimeout))
+	b.setReadDeadline(time.Now().Add(bodyTimeout))
 	n, err := b.source.Read(p)
-	b.readUntil(time.Time{})
+	b.setReadDeadline(time.Time{})
 	if err != nil {
 		b.err = err
-		b.ended = err == io.EOF
-		b.release()
-		if !b.ended {
+		b.readToEnd = err == io.EOF
+		b.signalDone()
+		if !b.readToEnd {
 			// The caller has closed the connection within the body.
 			b.conn.cancel()
 		}
@@ -101,18 +101,18 @@
 	return n, err
 }
 
-// readUntil records that a read with the deadline begins or, if the deadline is zero,
+// setReadDeadline records that a read with the deadline begins or, if the deadline is zero,
 // that it has ended.
-func (b *callerBody) readUntil(deadline time.Time) {
+func (b *callerBody) setReadDeadline(deadline time.Time) {
 	b.readingMu.Lock()
 	defer b.readingMu.Unlock()
 	b.reading = !deadline.IsZero()
 	_ = b.conn.socket.SetReadDeadline(deadline)
 }
 
-// endRead makes a read in progress end within lingerTime. It sets no deadline
+// interruptRead makes a read in progress end within lingerTime. It sets no deadline
 // otherwise, because the deadline may already be that of the next request.
-func (b *callerBody) endRead() {
+func (b *callerBody) interruptRead() {
 	b.readingMu.Lock()
 	defer b.readingMu.Unlock()
 	if b.reading {
@@ -125,37 +125,37 @@
 func (b *callerBody) Awaited() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.expects
+	return b.expectsContinue
 }
 
 // Close implements io.Closer. It leaves the connection open.
 func (b *callerBody) Close() error { return nil }
 
-func (b *callerBody) release() { b.once.Do(func() { close(b.done) }) }
+func (b *callerBody) signalDone() { b.once.Do(func() { close(b.done) }) }
 
 // finish is called after the response. It discards the rest of the body; if that is
 // too long or does not arrive in time, the connection will be closed.
 func (b *callerBody) finish() {
-	b.endRead()
+	b.interruptRead()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.err == nil && !b.expects {
+	if b.err == nil && !b.expectsContinue {
 		_ = b.conn.socket.SetReadDeadline(time.Now().Add(lingerTime))
 		n, err := io.Copy(io.Discard, io.LimitReader(b.source, discardBytes))
 		_ = b.conn.socket.SetReadDeadline(time.Time{})
-		b.ended = err == nil && n < discardBytes
+		b.readToEnd = err == nil && n < discardBytes
 	}
-	if !b.ended {
+	if !b.readToEnd {
 		b.conn.mu.Lock()
 		b.conn.closing = true
 		b.conn.mu.Unlock()
 	}
 	b.err = io.ErrClosedPipe
-	b.release()
+	b.signalDone()
 }
 
-// sayContinue sends 100 Continue, which asks the caller for its body.
-func (c *conn) sayContinue() error {
+// sendContinue sends 100 Continue, which asks the caller for its body.
+func (c *conn) sendContinue() error {
 	_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(c.writer, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 		return err
--- a/internal/connection/caller/response.go
+++ b/internal/connection/caller/response.go
@@ -30,8 +30,8 @@
 }
 
 var (
-	errShortAnswer = errors.New("the response body is shorter than its Content-Length")
-	errLongAnswer  = errors.New("the response body is longer than its Content-Length")
+	errShortResponse = errors.New("the response body is shorter than its Content-Length")
+	errLongResponse  = errors.New("the response body is longer than its Content-Length")
 )
 
 // Header implements http.ResponseWriter.
@@ -45,7 +45,7 @@
 	w.wroteHead = true
 	w.status = status
 	<-w.turn
-	w.frame()
+	w.setFraming()
 	_ = w.conn.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, w.err = io.WriteString(w.conn.writer, "HTTP/1.1 "+statusLine(status)+"\r\n")
 	if w.err == nil {
@@ -56,12 +56,12 @@
 	}
 }
 
-// frame sets the headers that tell the caller where the response ends and whether
+// setFraming sets the headers that tell the caller where the response ends and whether
 // the connection stays open.
-func (w *response) frame() {
+func (w *response) setFraming() {
 	w.length = -1
-	if announced := w.header.Get("Content-Length"); announced != "" {
-		if length, err := strconv.ParseInt(announced, 10, 64); err == nil {
+	if contentLength := w.header.Get("Content-Length"); contentLength != "" {
+		if length, err := strconv.ParseInt(contentLength, 10, 64); err == nil {
 			w.length = length
 		}
 	}
@@ -70,9 +70,9 @@
 		w.chunked = true
 		w.header.Set("Transfer-Encoding", "chunked")
 	}
-	closes := w.conn.endWith(w.request.Close || http10, w.header.Get("Connection") == "close")
+	closing := w.conn.decideClose(w.request.Close || http10, w.header.Get("Connection") == "close")
 	w.header.Del("Connection")
-	if closes {
+	if closing {
 		w.header.Set("Connection", "close")
 	}
 	for name, values := range w.header {
@@ -100,11 +100,11 @@
 		return len(p), nil
 	}
 	if w.length >= 0 && w.written+int64(len(p)) > w.length {
-		w.err = errLongAnswer
+		w.err = errLongResponse
 		return 0, w.err
 	}
 	_ = w.conn.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
-	w.err = w.writePart(p)
+	w.err = w.writeBody(p)
 	if w.err != nil {
 		return 0, w.err
 	}
@@ -112,8 +112,8 @@
 	return len(p), nil
 }
 
-// writePart writes a part of the body, as one chunk if the response is chunked.
-func (w *response) writePart(p []byte) error {
+// writeBody writes a part of the body, as one chunk if the response is chunked.
+func (w *response) writeBody(p []byte) error {
 	if w.chunked {
 		if _, err := io.WriteString(w.conn.writer, strconv.FormatInt(int64(len(p)), 16)+"\r\n"); err != nil {
 			return err
@@ -146,7 +146,7 @@
 		_, w.err = io.WriteString(w.conn.writer, "0\r\n\r\n")
 	}
 	if w.err == nil && w.length >= 0 && w.hasBody() && w.written < w.length {
-		w.err = errShortAnswer
+		w.err = errShortResponse
 	}
 	if w.err == nil {
 		w.err = w.conn.writer.Flush()
@@ -154,10 +154,10 @@
 	return w.err
 }
 
-// breakOff makes sure that the caller can recognize an incomplete response. A response
+// markIncomplete makes sure that the caller can recognize an incomplete response. A response
 // that ends with its connection would look complete after an orderly close, so the
 // connection is reset.
-func (w *response) breakOff() {
+func (w *response) markIncomplete() {
 	if !w.wroteHead || w.chunked || w.length >= 0 || !w.hasBody() {
 		return
 	}
--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -51,9 +51,9 @@
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
 	listener net.Listener
-	// accepted is closed when Serve accepts no more connections.
-	accepted chan struct{}
-	stopping atomic.Bool
+	// acceptDone is closed when Serve accepts no more connections.
+	acceptDone chan struct{}
+	stopping   atomic.Bool
 }
 
 // ErrStopped is returned by Serve after Shutdown or Close.
@@ -63,11 +63,11 @@
 // ErrStopped. It may be called only once.
 func (s *Server) Serve(listener net.Listener) error {
 	defer listener.Close()
-	accepted := make(chan struct{})
-	defer close(accepted)
+	acceptDone := make(chan struct{})
+	defer close(acceptDone)
 	s.mu.Lock()
 	s.conns = map[*conn]struct{}{}
-	s.listener, s.accepted = listener, accepted
+	s.listener, s.acceptDone = listener, acceptDone
 	s.mu.Unlock()
 	if s.stopping.Load() {
 		return ErrStopped
@@ -75,12 +75,12 @@
 	for {
 		socket, err := listener.Accept()
 		if err == nil {
-			s.start(socket)
+			s.startConn(socket)
 			continue
 		}
 		if s.stopping.Load() {
 			for _, socket := range takeBacklog(listener) {
-				s.start(socket)
+				s.startConn(socket)
 			}
 			return ErrStopped
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-func (s *Server) start(socket net.Conn) {
+func (s *Server) startConn(socket net.Conn) {
 	c := newConn(s, socket)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
@@ -99,7 +99,7 @@
 	go c.serve()
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
@@ -110,16 +110,16 @@
 // answered or the context ends. A connection that has had no request yet stays
 // open for FirstRequestWait.
 func (s *Server) Shutdown(ctx context.Context) error {
-	firstRequests := time.Now().Add(s.FirstRequestWait)
+	firstRequestDeadline := time.Now().Add(s.FirstRequestWait)
 	s.stopAccepting()
 	for {
-		open := s.open()
-		if len(open) == 0 {
+		conns := s.openConns()
+		if len(conns) == 0 {
 			return nil
 		}
-		waits := time.Now().Before(firstRequests)
-		for _, c := range open {
-			c.drain(waits)
+		keepUnused := time.Now().Before(firstRequestDeadline)
+		for _, c := range conns {
+			c.drain(keepUnused)
 		}
 		select {
 		case <-ctx.Done():
@@ -134,31 +134,31 @@
 func (s *Server) stopAccepting() {
 	s.stopping.Store(true)
 	s.mu.Lock()
-	listener, accepted := s.listener, s.accepted
+	listener, acceptDone := s.listener, s.acceptDone
 	s.mu.Unlock()
 	if listener == nil {
 		return
 	}
-	if waits, ok := listener.(interface{ SetDeadline(time.Time) error }); !ok || waits.SetDeadline(time.Now()) != nil {
+	if deadliner, ok := listener.(interface{ SetDeadline(time.Time) error }); !ok || deadliner.SetDeadline(time.Now()) != nil {
 		_ = listener.Close()
 	}
-	<-accepted
+	<-acceptDone
 }
 
-func (s *Server) open() []*conn {
+func (s *Server) openConns() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	open := make([]*conn, 0, len(s.conns))
+	conns := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
-		open = append(open, c)
+		conns = append(conns, c)
 	}
-	return open
+	return conns
 }
 
 // Close closes the listener and all connections at once.
 func (s *Server) Close() {
 	s.stopAccepting()
-	for _, c := range s.open() {
+	for _, c := range s.openConns() {
 		c.abort()
 	}
 }
