--- a/internal/process/loop/loop.go
+++ b/internal/process/loop/loop.go
@@ -15,8 +15,8 @@
 type Loop struct {
 	mu    sync.Mutex
 	queue []func()
-	// wake has one element while Run has to look at the queue.
-	wake chan struct{}
+	// posted has one element while Run has to look at the queue.
+	posted chan struct{}
 	// done is closed when Run has returned.
 	done   chan struct{}
 	closed bool
@@ -24,7 +24,7 @@
 
 // New returns a loop. Posted functions wait until Run is called.
 func New() *Loop {
-	return &Loop{wake: make(chan struct{}, 1), done: make(chan struct{})}
+	return &Loop{posted: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
 // Post queues a function and returns immediately. Functions posted after Run has
@@ -36,7 +36,7 @@
 	}
 	l.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case l.posted <- struct{}{}:
 	default:
 	}
 }
@@ -60,7 +60,7 @@
 	go func() {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
-		pending := make(chan struct{}, 1)
+		queued := make(chan struct{}, 1)
 		for {
 			select {
 			case <-ctx.Done():
@@ -68,8 +68,8 @@
 			case <-ticker.C:
 			}
 			select {
-			case pending <- struct{}{}:
-				l.Post(func() { <-pending; f() })
+			case queued <- struct{}{}:
+				l.Post(func() { <-queued; f() })
 			default:
 			}
 		}
@@ -80,18 +80,18 @@
 func (l *Loop) Run(ctx context.Context) {
 	defer l.close()
 	for {
-		for _, f := range l.take() {
+		for _, f := range l.takeQueue() {
 			f()
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.wake:
+		case <-l.posted:
 		}
 	}
 }
 
-func (l *Loop) take() []func() {
+func (l *Loop) takeQueue() []func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	taken := l.queue
--- a/internal/process/loop/loop_test.go
+++ b/internal/process/loop/loop_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func running(t *testing.T) (*Loop, context.CancelFunc) {
+func startLoop(t *testing.T) (*Loop, context.CancelFunc) {
 	l := New()
 	ctx, cancel := context.WithCancel(t.Context())
 	go l.Run(ctx)
@@ -16,7 +16,7 @@
 }
 
 func TestFunctionsRunInOrderOneAtATime(t *testing.T) {
-	l, cancel := running(t)
+	l, cancel := startLoop(t)
 	defer cancel()
 	var order []int
 	for i := range 100 {
@@ -30,7 +30,7 @@
 }
 
 func TestAPostedFunctionMayPost(t *testing.T) {
-	l, cancel := running(t)
+	l, cancel := startLoop(t)
 	defer cancel()
 	done := make(chan struct{})
 	l.Post(func() { l.Post(func() { close(done) }) })
@@ -38,7 +38,7 @@
 }
 
 func TestCallReportsTheEndOfTheLoop(t *testing.T) {
-	l, cancel := running(t)
+	l, cancel := startLoop(t)
 	cancel()
 	for l.Call(func() {}) {
 		time.Sleep(time.Millisecond)
--- a/internal/process/store/follow.go
+++ b/internal/process/store/follow.go
@@ -12,8 +12,8 @@
 	// followers that lost the store together do not all return at once.
 	followRetryMin = 100 * time.Millisecond
 	followRetryMax = 1 * time.Second
-	// watchCutPause bounds the pause between a failed watch and the next list.
-	watchCutPause = 30 * time.Millisecond
+	// relistPause bounds the pause between a failed watch and the next list.
+	relistPause = 30 * time.Millisecond
 )
 
 // Follower receives the objects whose names begin with a prefix. Its functions are
@@ -34,26 +34,26 @@
 func Follow(ctx context.Context, s Store, prefix string, f Follower) {
 	pause := followRetryMin
 	for ctx.Err() == nil {
-		objects, at, err := s.List(ctx, prefix)
+		objects, revision, err := s.List(ctx, prefix)
 		if ctx.Err() != nil {
 			return
 		}
 		f.Contact(err)
 		if err != nil {
-			pause = wait(ctx, pause)
+			pause = backoff(ctx, pause)
 			continue
 		}
 		pause = followRetryMin
 		f.Listed(objects)
-		followChanges(ctx, s, prefix, at, f)
-		sleepUpTo(ctx, watchCutPause)
+		followChanges(ctx, s, prefix, revision, f)
+		sleepJittered(ctx, relistPause)
 	}
 }
 
 // followChanges watches until a watch fails or the context ends.
-func followChanges(ctx context.Context, s Store, prefix string, at int64, f Follower) {
+func followChanges(ctx context.Context, s Store, prefix string, revision int64, f Follower) {
 	for {
-		changes, next, err := s.Watch(ctx, prefix, at)
+		changes, next, err := s.Watch(ctx, prefix, revision)
 		if ctx.Err() != nil {
 			return
 		}
@@ -61,21 +61,21 @@
 		if err != nil {
 			return
 		}
-		at = next
+		revision = next
 		f.Changed(changes)
 	}
 }
 
-// wait pauses for a random time of at most bound and returns the bound of the next
+// backoff pauses for a random time of at most bound and returns the bound of the next
 // pause, which is twice as long up to followRetryMax.
-func wait(ctx context.Context, bound time.Duration) time.Duration {
-	sleepUpTo(ctx, bound)
+func backoff(ctx context.Context, bound time.Duration) time.Duration {
+	sleepJittered(ctx, bound)
 	return min(max(2*bound, followRetryMin), followRetryMax)
 }
 
-// sleepUpTo sleeps for a random time between half of bound and bound, or until the
+// sleepJittered sleeps for a random time between half of bound and bound, or until the
 // context ends.
-func sleepUpTo(ctx context.Context, bound time.Duration) {
+func sleepJittered(ctx context.Context, bound time.Duration) {
 	timer := time.NewTimer(bound/2 + rand.N(bound/2+1))
 	defer timer.Stop()
 	select {
--- a/internal/process/store/http.go
+++ b/internal/process/store/http.go
@@ -19,8 +19,8 @@
 const (
 	// defaultCallTimeout bounds a call other than a watch.
 	defaultCallTimeout = 5 * time.Second
-	// watchPoll is how long the store holds one long poll open.
-	watchPoll = 25 * time.Second
+	// watchPollWait is how long the store holds one long poll open.
+	watchPollWait = 25 * time.Second
 	// watchGrace is how much longer than watchPoll a long poll may take before the
 	// connection counts as lost.
 	watchGrace = 5 * time.Second
@@ -70,7 +70,7 @@
 func (h *HTTP) Close() { h.client.CloseIdleConnections() }
 
 // Calls returns the number of calls so far. Each long poll of a watch counts as one.
-func (h *HTTP) Calls() Calls { return h.calls.read() }
+func (h *HTTP) Calls() Calls { return h.calls.snapshot() }
 
 // Get implements Store.
 func (h *HTTP) Get(ctx context.Context, name string) (Object, error) {
@@ -137,10 +137,10 @@
 	query := url.Values{
 		ParamPrefix:     {prefix},
 		ParamAfter:      {strconv.FormatInt(after, 10)},
-		ParamWaitMillis: {strconv.FormatInt(watchPoll.Milliseconds(), 10)},
+		ParamWaitMillis: {strconv.FormatInt(watchPollWait.Milliseconds(), 10)},
 	}
 	var found WireObjects
-	ctx, cancel := context.WithTimeout(ctx, watchPoll+watchGrace)
+	ctx, cancel := context.WithTimeout(ctx, watchPollWait+watchGrace)
 	defer cancel()
 	err := h.exchange(ctx, http.MethodGet, PathWatch+"?"+query.Encode(), nil, &found)
 	return found, err
@@ -156,48 +156,48 @@
 // exchange sends a request and decodes the response into result, or into an error
 // if the store refused the call.
 func (h *HTTP) exchange(ctx context.Context, method, path string, body []byte, result any) error {
-	var handedOver atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { handedOver.Store(true) }}
+	var gotConn atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { gotConn.Store(true) }}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, h.base+path, bytes.NewReader(body))
 	if err != nil {
 		return fault.Wrap(err, fault.Invalid, "correct the store's address in the settings", "store address %q cannot be used", h.base)
 	}
 	response, err := h.client.Do(request)
 	if err != nil {
-		return h.lost(err, method, handedOver.Load())
+		return h.callError(err, method, gotConn.Load())
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return h.lost(err, method, true)
+		return h.callError(err, method, true)
 	}
 	if response.StatusCode != http.StatusOK {
-		return h.refusal(method, response.StatusCode, content)
+		return h.responseError(method, response.StatusCode, content)
 	}
 	if err := json.Unmarshal(content, result); err != nil {
-		return h.lost(err, method, true)
+		return h.callError(err, method, true)
 	}
 	return nil
 }
 
-// lost returns the error for a call that got no complete response.
-func (h *HTTP) lost(cause error, method string, handedOver bool) error {
-	if handedOver && method != http.MethodGet {
+// callError returns the error for a call that got no complete response.
+func (h *HTTP) callError(cause error, method string, gotConn bool) error {
+	if gotConn && method != http.MethodGet {
 		return fault.Wrap(cause, fault.UnknownOutcome, "read the object back before acting", "the store at %s did not answer a write", h.base)
 	}
 	return fault.Wrap(cause, fault.Unavailable, "try again; if it lasts, check the platform's store and the network", "the store at %s cannot be reached", h.base)
 }
 
-// refusal turns a response with a status other than 200 into a typed error. A
+// responseError turns a response with a status other than 200 into a typed error. A
 // response that is not the store's own, e.g. of a proxy, leaves open whether a
 // write took effect.
-func (h *HTTP) refusal(method string, status int, content []byte) error {
+func (h *HTTP) responseError(method string, status int, content []byte) error {
 	var refused WireError
 	if err := json.Unmarshal(content, &refused); err == nil && knownKind(refused.Kind) {
 		return fault.New(refused.Kind, refused.Remedy, "%s", refused.Message)
 	}
 	cause := fault.New(fault.Invalid, "check the store's address", "unexpected HTTP status %d", status)
-	return h.lost(cause, method, true)
+	return h.callError(cause, method, true)
 }
 
 // knownKind reports whether the store may return errors of the kind.
@@ -228,6 +228,6 @@
 	get, put, delete, list, watch atomic.Int64
 }
 
-func (c *callCounter) read() Calls {
+func (c *callCounter) snapshot() Calls {
 	return Calls{Get: c.get.Load(), Put: c.put.Load(), Delete: c.delete.Load(), List: c.list.Load(), Watch: c.watch.Load()}
 }
--- a/internal/process/store/memory.go
+++ b/internal/process/store/memory.go
@@ -59,7 +59,7 @@
 	if found := m.objects[name].Version; found != expected {
 		return 0, conflict(name, expected, found)
 	}
-	m.record(Object{Name: name, Value: append([]byte(nil), value...)})
+	m.apply(Object{Name: name, Value: append([]byte(nil), value...)})
 	return m.revision, nil
 }
 
@@ -75,7 +75,7 @@
 	if found.Version != expected {
 		return conflict(name, expected, found.Version)
 	}
-	m.record(Object{Name: name, Deleted: true})
+	m.apply(Object{Name: name, Deleted: true})
 	return nil
 }
 
@@ -130,8 +130,8 @@
 	return changes, m.revision, m.changed, nil
 }
 
-// record applies a change at the next revision and wakes waiting watches.
-func (m *Memory) record(object Object) {
+// apply applies a change at the next revision and wakes waiting watches.
+func (m *Memory) apply(object Object) {
 	m.revision++
 	object.Version = m.revision
 	if object.Deleted {
--- a/internal/process/store/store_test.go
+++ b/internal/process/store/store_test.go
@@ -73,8 +73,8 @@
 	assert.Equal(t, string(stored.Value), "one")
 
 	stub.SetFaults(storestub.Faults{LoseAnswers: 1})
-	own := func(value []byte) bool { return string(value) == "two" }
-	version, err := store.PutResolved(t.Context(), client, "manifest", []byte("two"), stored.Version, own)
+	isOwn := func(value []byte) bool { return string(value) == "two" }
+	version, err := store.PutResolved(t.Context(), client, "manifest", []byte("two"), stored.Version, isOwn)
 	assert.NilError(t, err)
 	assert.Assert(t, version > stored.Version)
 }
@@ -82,8 +82,8 @@
 func TestLostAnswerDuringOutageStaysUnknown(t *testing.T) {
 	client, stub := openStub(t)
 	stub.SetFaults(storestub.Faults{LoseAnswers: 1, OutageAfterWrites: 1})
-	own := func(value []byte) bool { return string(value) == "one" }
-	_, err := store.PutResolved(t.Context(), client, "manifest", []byte("one"), store.Absent, own)
+	isOwn := func(value []byte) bool { return string(value) == "one" }
+	_, err := store.PutResolved(t.Context(), client, "manifest", []byte("one"), store.Absent, isOwn)
 	assert.Assert(t, fault.Is(err, fault.UnknownOutcome), "%v", err)
 	_, err = stub.Memory().Get(t.Context(), "manifest")
 	assert.NilError(t, err)
--- a/internal/process/store/storetest/storetest.go
+++ b/internal/process/store/storetest/storetest.go
@@ -15,8 +15,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/store"
 )
 
-// watchBound bounds the time in which a watch must deliver all changes.
-const watchBound = 5 * time.Second
+// watchTimeout bounds the time in which a watch must deliver all changes.
+const watchTimeout = 5 * time.Second
 
 // Form is a store under test.
 type Form interface {
@@ -82,7 +82,7 @@
 }
 
 func watch(t *testing.T, s Form) {
-	ctx, cancel := context.WithTimeout(t.Context(), watchBound)
+	ctx, cancel := context.WithTimeout(t.Context(), watchTimeout)
 	defer cancel()
 	_, after, err := s.List(ctx, "vms/")
 	assert.NilError(t, err)
