--- a/internal/connection/caller/conn.go
+++ b/internal/connection/caller/conn.go
@@ -50,7 +50,7 @@
 	mu sync.Mutex
 	// pending is the number of requests whose response is not complete.
 	pending int
-	// slotFreed is signalled when a request ends or the connection is closed.
+	// slotFreed is signaled when a request ends or the connection is closed.
 	slotFreed *sync.Cond
 	// closing is set when no further request will be answered.
 	closing bool
@@ -63,8 +63,8 @@
 	// reading is set while a request is being read.
 	reading bool
 
-	// lastRead is set when a request has been read that closes the connection. Only the
-	// reading goroutine uses it.
+	// lastRead is set when the request that closes the connection has been read. Only
+	// the reading goroutine uses it.
 	lastRead bool
 }
 
@@ -283,8 +283,8 @@
 	return !c.closing
 }
 
-// closeAfterReadError closes the connection after readRequest has failed. An invalid request
-// is answered before.
+// closeAfterReadError closes the connection after readRequest has failed. It answers
+// an invalid request before.
 func (c *conn) closeAfterReadError(err error, turn chan struct{}) {
 	var status int
 	switch {
@@ -324,8 +324,8 @@
 }
 
 // drain closes the connection if it is idle, or makes it close after the responses
-// to its requests. If waits is set, a connection that has had no request yet stays
-// open. While a request is being read it does nothing; Shutdown calls it again.
+// to its requests. If keepUnused is set, a connection that has had no request yet stays
+// open. It does nothing while a request is being read; Shutdown calls it again.
 func (c *conn) drain(keepUnused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -341,10 +341,10 @@
 	}
 }
 
-// decideClose reports whether the connection closes after the response that is about to
-// be written, and records it. It always does if must is set, as when the caller
-// asked for it. If the handler (wanted) or a shutdown asks for it, it does only
-// when no other request is in flight or being read.
+// decideClose decides whether the connection closes after the response that is about
+// to be written. It must if required is set, i.e. the caller has asked for it. If the
+// handler (wanted) or a shutdown asks for it, the connection closes only if no other
+// request is in flight or being read.
 func (c *conn) decideClose(required, wanted bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -355,8 +355,8 @@
 	return false
 }
 
-// closeGracefully closes the connection after its last response. It first closes the write
-// side and reads on for up to lingerTime, so that the caller gets the response.
+// closeGracefully closes the connection after its last response. It first closes the
+// write side and reads on for up to lingerTime, so that the caller gets the response.
 func (c *conn) closeGracefully() {
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
--- a/internal/connection/caller/request.go
+++ b/internal/connection/caller/request.go
@@ -101,8 +101,8 @@
 	return n, err
 }
 
-// setReadDeadline records that a read with the deadline begins or, if the deadline is zero,
-// that it has ended.
+// setReadDeadline records that a read with the deadline begins or, if the deadline is
+// zero, that the read has ended.
 func (b *callerBody) setReadDeadline(deadline time.Time) {
 	b.readingMu.Lock()
 	defer b.readingMu.Unlock()
--- a/internal/connection/caller/response.go
+++ b/internal/connection/caller/response.go
@@ -154,9 +154,9 @@
 	return w.err
 }
 
-// markIncomplete makes sure that the caller can recognize an incomplete response. A response
-// that ends with its connection would look complete after an orderly close, so the
-// connection is reset.
+// markIncomplete makes sure that the caller can recognize an incomplete response. A
+// response whose end is the end of the connection would look complete after an orderly
+// close, so the connection is reset instead.
 func (w *response) markIncomplete() {
 	if !w.wroteHead || w.chunked || w.length >= 0 || !w.hasBody() {
 		return
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -41,8 +41,8 @@
 	// connectTimeout bounds the connection setup to a target. A handshake takes a
 	// few milliseconds, but TCP retransmits a lost SYN only after a second.
 	connectTimeout = 150 * time.Millisecond
-	// targetIdleTimeout is the idle timeout of connections to targets. It is shorter than
-	// the 10 s after which targets close theirs.
+	// targetIdleTimeout is the idle timeout of connections to targets. It is shorter
+	// than the 10 s after which targets close them.
 	targetIdleTimeout = 8 * time.Second
 	// headerTimeout and idleTimeout apply to the readiness and metrics endpoints,
 	// and to callers while no configuration is known.
@@ -199,8 +199,8 @@
 	return m.Address, ok
 }
 
-// brokerAlive reports whether a broker is alive. All brokers run on the leader, so the
-// VM does not matter.
+// brokerAlive reports whether a broker is alive. All brokers run on the leader, so
+// the VM does not matter.
 func (g *Gateway) brokerAlive(string) bool { return g.coordinator.ReceivesHeartbeats() }
 
 func (g *Gateway) publish(view *fleet.View) {
--- a/internal/process/loop/loop.go
+++ b/internal/process/loop/loop.go
@@ -15,7 +15,8 @@
 type Loop struct {
 	mu    sync.Mutex
 	queue []func()
-	// posted has one element while Run has to look at the queue.
+	// posted holds one element while the queue may have functions that Run has not
+	// taken.
 	posted chan struct{}
 	// done is closed when Run has returned.
 	done   chan struct{}
--- a/internal/process/store/follow.go
+++ b/internal/process/store/follow.go
@@ -66,15 +66,15 @@
 	}
 }
 
-// backoff pauses for a random time of at most bound and returns the bound of the next
-// pause, which is twice as long up to followRetryMax.
+// backoff pauses for a random time of at most bound and returns the bound of the
+// next pause, which is twice as long, up to followRetryMax.
 func backoff(ctx context.Context, bound time.Duration) time.Duration {
 	sleepJittered(ctx, bound)
 	return min(max(2*bound, followRetryMin), followRetryMax)
 }
 
-// sleepJittered sleeps for a random time between half of bound and bound, or until the
-// context ends.
+// sleepJittered sleeps for a random time between half of bound and bound, or until
+// the context ends.
 func sleepJittered(ctx context.Context, bound time.Duration) {
 	timer := time.NewTimer(bound/2 + rand.N(bound/2+1))
 	defer timer.Stop()
--- a/internal/process/store/resolve.go
+++ b/internal/process/store/resolve.go
@@ -7,7 +7,7 @@
 )
 
 // PutResolved writes like Put. If the outcome is unknown, it reads the object back;
-// own reports whether a stored value is the one of this write, which carries an
+// isOwn reports whether a stored value is the one of this write, which carries an
 // operation id for that purpose. The error is UnknownOutcome if the read failed
 // too, if the write is not visible yet, or if another writer has since replaced
 // the object, which hides whether this write took effect.
@@ -31,8 +31,8 @@
 	return 0, err
 }
 
-// notVisibleYet returns the error for a write that is not visible yet. Its outcome stays
-// unknown because the store may still apply it.
+// notVisibleYet returns the error for a write that is not visible yet. Its outcome
+// stays unknown because the store may still apply it.
 func notVisibleYet(cause error, name string) error {
 	return fault.Wrap(cause, fault.UnknownOutcome, "repeat the write with the same expected version and operation id; it takes effect at most once",
 		"the write of object %q is not visible yet", name)
--- a/internal/process/store/storetest/storetest.go
+++ b/internal/process/store/storetest/storetest.go
@@ -18,7 +18,7 @@
 // watchTimeout bounds the time in which a watch must deliver all changes.
 const watchTimeout = 5 * time.Second
 
-// Form is a store under test.
+// Form is a store under test, which also counts its calls.
 type Form interface {
 	store.Store
 	store.Counter
