--- a/internal/process/store/store_test.go
+++ b/internal/process/store/store_test.go
@@ -15,11 +15,11 @@
 )
 
 func TestMemoryConforms(t *testing.T) {
-	storetest.Run(t, func(*testing.T) storetest.Form { return store.NewMemory() })
+	storetest.Run(t, func(*testing.T) storetest.CountingStore { return store.NewMemory() })
 }
 
 func TestHTTPConforms(t *testing.T) {
-	storetest.Run(t, func(t *testing.T) storetest.Form {
+	storetest.Run(t, func(t *testing.T) storetest.CountingStore {
 		client, _ := openStub(t)
 		return client
 	})
--- a/internal/process/store/storetest/storetest.go
+++ b/internal/process/store/storetest/storetest.go
@@ -18,15 +18,15 @@
 // watchTimeout bounds the time in which a watch must deliver all changes.
 const watchTimeout = 5 * time.Second
 
-// Form is a store under test, which also counts its calls.
-type Form interface {
+// CountingStore is a store under test, which also counts its calls.
+type CountingStore interface {
 	store.Store
 	store.Counter
 }
 
 // Run checks the guarantees that package store documents. open must return an
 // empty store each time.
-func Run(t *testing.T, open func(t *testing.T) Form) {
+func Run(t *testing.T, open func(t *testing.T) CountingStore) {
 	t.Run("conditional writes", func(t *testing.T) { conditionalWrites(t, open(t)) })
 	t.Run("list", func(t *testing.T) { list(t, open(t)) })
 	t.Run("watch", func(t *testing.T) { watch(t, open(t)) })
@@ -36,7 +36,7 @@
 	t.Run("calls", func(t *testing.T) { calls(t, open(t)) })
 }
 
-func conditionalWrites(t *testing.T, s Form) {
+func conditionalWrites(t *testing.T, s CountingStore) {
 	ctx := t.Context()
 	_, err := s.Get(ctx, "cells/a/0")
 	assert.Assert(t, fault.Is(err, fault.NotFound), "%v", err)
@@ -65,7 +65,7 @@
 	assert.Assert(t, third > second+1, "the deletion has a version of its own")
 }
 
-func list(t *testing.T, s Form) {
+func list(t *testing.T, s CountingStore) {
 	ctx := t.Context()
 	var last int64
 	for _, name := range []string{"vms/b", "vms/a", "cells/x/0"} {
@@ -81,7 +81,7 @@
 	assert.Equal(t, string(found[1].Value), "vms/b")
 }
 
-func watch(t *testing.T, s Form) {
+func watch(t *testing.T, s CountingStore) {
 	ctx, cancel := context.WithTimeout(t.Context(), watchTimeout)
 	defer cancel()
 	_, after, err := s.List(ctx, "vms/")
@@ -107,7 +107,7 @@
 	}
 }
 
-func watchEnds(t *testing.T, s Form) {
+func watchEnds(t *testing.T, s CountingStore) {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	changes, revision, err := s.Watch(ctx, "vms/", 0)
@@ -116,7 +116,7 @@
 	assert.Equal(t, revision, int64(0))
 }
 
-func oneWinner(t *testing.T, s Form) {
+func oneWinner(t *testing.T, s CountingStore) {
 	const writers, rounds = 8, 5
 	version := store.Absent
 	for range rounds {
@@ -138,14 +138,14 @@
 	}
 }
 
-func sizeLimit(t *testing.T, s Form) {
+func sizeLimit(t *testing.T, s CountingStore) {
 	_, err := s.Put(t.Context(), "manifest", make([]byte, store.MaxValueBytes+1), store.Absent)
 	assert.Assert(t, fault.Is(err, fault.Invalid), "%v", err)
 	_, err = s.Put(t.Context(), "manifest", make([]byte, store.MaxValueBytes), store.Absent)
 	assert.NilError(t, err)
 }
 
-func calls(t *testing.T, s Form) {
+func calls(t *testing.T, s CountingStore) {
 	ctx := t.Context()
 	version, err := s.Put(ctx, "a", nil, store.Absent)
 	assert.NilError(t, err)
