--- a/internal/connection/caller/request.go
+++ b/internal/connection/caller/request.go
@@ -121,7 +121,7 @@
 }
 
 // Awaited reports whether the caller waits for 100 Continue before it sends the
-// body.
+// body. Package forward finds this method by a type assertion.
 func (b *callerBody) Awaited() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/process/store/storetest/storetest.go
+++ b/internal/process/store/storetest/storetest.go
@@ -18,7 +18,7 @@
 // watchTimeout bounds the time in which a watch must deliver all changes.
 const watchTimeout = 5 * time.Second
 
-// CountingStore is a store under test, which also counts its calls.
+// CountingStore is a store under test that also counts its calls.
 type CountingStore interface {
 	store.Store
 	store.Counter
