--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -5,7 +5,7 @@
 // Guarantees: control state changes on one goroutine (package loop); request
 // handling reads an immutable view; a graceful stop serves the requests in
 // flight and those that the load balancer still sends, and interrupts none
-// before Settings.StopWithin has passed.
+// before it has to end (stopMargin before Settings.StopWithin).
 package gateway
 
 import (
@@ -71,11 +71,12 @@
 // Settings describe the VM and the deployment that a gateway runs in.
 type Settings struct {
 	VM, FailureDomain string
-	// Listening addresses, as host:port.
+	// Callers, Ready, Peers and Metrics are the listening addresses, as host:port,
+	// for callers' requests, the readiness check, other VMs and the metrics.
 	Callers, Ready, Peers, Metrics string
 	// Advertised is the address that other VMs connect to; Peers if it is empty.
 	Advertised string
-	// Deployment must be the same on all VMs.
+	// Deployment names the deployment. It must be the same on all VMs.
 	Deployment string
 	// Processor is the processor share of the VM, in cores.
 	Processor float64
@@ -91,7 +92,8 @@
 
 // Platform holds the platform's services and formats that a gateway uses.
 type Platform struct {
-	Store      store.Store
+	Store store.Store
+	// RecordName is the store object that holds the ownership record.
 	RecordName string
 	Names      observer.Names
 	Targets    coordinator.Targets
@@ -304,8 +306,8 @@
 }
 
 // stop fails the readiness check, waits until the load balancer sends no more
-// connections, and then waits for the requests in flight. Responses meanwhile
-// ask callers to open a new connection.
+// connections, and then waits for the requests in flight. Responses sent meanwhile
+// tell callers to open a new connection.
 func (g *Gateway) stop() {
 	began := time.Now()
 	events.DaemonStopping.Log(&g.logger).Int("in_flight", g.handler.InFlight()).Send()
--- a/internal/process/store/memory.go
+++ b/internal/process/store/memory.go
@@ -130,7 +130,7 @@
 	return changes, m.revision, m.changed, nil
 }
 
-// apply applies a change at the next revision and wakes waiting watches.
+// apply makes a change at the next revision and wakes the waiting watches.
 func (m *Memory) apply(object Object) {
 	m.revision++
 	object.Version = m.revision
