--- a/internal/process/daemon/build.go
+++ b/internal/process/daemon/build.go
@@ -22,7 +22,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/rights"
 )
 
-// build opens the listeners and makes the parts, each with what it depends on.
+// build opens the listeners and creates the components in order of their
+// dependencies.
 func (d *Daemon) build(platform store.Store) error {
 	d.metrics = NewMetrics(d.settings.VM, d.settings.FailureDomain)
 	if err := d.buildTransport(); err != nil {
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// addressOf returns the address to dial for a VM.
+// addressOf returns the address to dial for a VM; an override in the settings
+// takes precedence over the advertised address.
 func (d *Daemon) addressOf(vm string) (string, bool) {
 	if address, ok := d.settings.Peers.Overrides[vm]; ok {
 		return address, true
@@ -72,7 +74,8 @@
 	return d.distribution.AddressOf(vm)
 }
 
-// buildDispatcher makes the sending side: traffic and the ownership protocol.
+// buildDispatcher creates the dispatcher, which sends requests to targets, and
+// the driver of the ownership protocol.
 func (d *Daemon) buildDispatcher() {
 	d.targets = target.NewControlClient()
 	d.dispatcher = dispatch.New(dispatch.Config{
@@ -143,8 +146,9 @@
 
 func (d *Daemon) logsDecisions() bool { return d.settings.Log.Decisions != settings.DecisionsNone }
 
-// decisionLogger returns the logger of routing decisions. Refusals are logged
-// at the level of warnings, so a higher level leaves only them.
+// decisionLogger returns the logger of routing decisions. Requests that end as
+// not run or unknown are logged as warnings, all others at the info level, so
+// DecisionsRefusedOnly raises the level to warnings.
 func (d *Daemon) decisionLogger() zerolog.Logger {
 	if d.settings.Log.Decisions == settings.DecisionsRefusedOnly {
 		return d.logger.Level(max(d.logger.GetLevel(), zerolog.WarnLevel))
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -1,9 +1,9 @@
-// Package daemon puts the roles together into one process: entry, dispatcher,
-// controller, distribution and the operators' interface.
+// Package daemon runs all roles of a VM in one process: entry, dispatcher,
+// controller, distribution and the operators' API.
 //
-// Guarantees: control state changes on one goroutine (package loop); a
-// graceful stop cuts no request in flight within its bound; a daemon that was
-// started anew holds nothing under its earlier incarnation.
+// Guarantees: control state changes only on one goroutine (package loop); a
+// graceful stop interrupts no request in flight before its timeout; a restarted
+// daemon holds no right of its earlier incarnation.
 package daemon
 
 import (
@@ -34,7 +34,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/routing"
 )
 
-// Daemon is one daemon with all its roles.
+// Daemon runs all roles of one VM. Use New to create it and Run to serve.
 type Daemon struct {
 	settings *settings.Settings
 	self     routing.VM
@@ -53,18 +53,20 @@
 	callers      *entry.Server
 	operators    *operatorsServer
 
-	// ownCells are the cells in which this VM has a part; it belongs to the loop.
+	// ownCells are the cells in which this VM is a partner of a target. It is
+	// accessed only on the loop.
 	ownCells []string
-	// rights is the table that the dispatcher's traffic side reads.
+	// rights is the table of dispatch rights that the dispatcher consults for
+	// each request.
 	rights atomic.Pointer[rights.Table]
 	// leaving is set once a graceful stop has begun.
 	leaving atomic.Bool
-	// replaced is closed when another incarnation has taken this VM's name.
+	// replaced is closed when another incarnation registers under this VM's name.
 	replaced chan struct{}
 }
 
-// New opens the listeners and puts the parts together. Nothing is served
-// before Run.
+// New opens the listeners and creates the components. Nothing is served before
+// Run.
 func New(s *settings.Settings, platform store.Store, logger zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
 		settings: s, logger: logger, loop: loop.New(), replaced: make(chan struct{}),
@@ -80,10 +82,11 @@
 	return d, nil
 }
 
-// Run serves until the context ends, then stops gracefully. It returns nil
-// after a graceful stop.
+// Run serves until ctx is canceled, another incarnation replaces this one or a
+// component fails, then stops gracefully. It returns the error of the component
+// that failed, or nil.
 func (d *Daemon) Run(ctx context.Context) error {
-	// The parts outlive the context: a graceful stop still needs them.
+	// The components outlive ctx, because a graceful stop still needs them.
 	parts, stopParts := context.WithCancel(context.Background())
 	defer stopParts()
 	group, parts := errgroup.WithContext(parts)
@@ -105,7 +108,7 @@
 	return err
 }
 
-// start runs every part until the context ends.
+// start runs every component until ctx is canceled.
 func (d *Daemon) start(ctx context.Context, group *errgroup.Group) {
 	group.Go(func() error { d.loop.Run(ctx); return nil })
 	group.Go(func() error { return d.transport.Run(ctx) })
@@ -118,7 +121,7 @@
 	d.reporter.Start(ctx)
 }
 
-// close ends what does not end with the context.
+// close closes the components that do not stop when their context is canceled.
 func (d *Daemon) close() {
 	d.transport.Close()
 	_ = d.callers.Close()
@@ -129,7 +132,7 @@
 	_ = d.metrics.Close()
 }
 
-// ready reports whether this VM takes new work, and if not, why.
+// ready reports whether this VM accepts new requests, and if not, why.
 func (d *Daemon) ready() (outcome.Reason, bool) {
 	if d.leaving.Load() {
 		return outcome.Draining, false
@@ -137,15 +140,16 @@
 	return d.distribution.Ready()
 }
 
-// snapshotChanged passes a new snapshot on; it runs on the loop.
+// snapshotChanged passes a new routing snapshot to the components that depend
+// on it. It runs on the loop.
 func (d *Daemon) snapshotChanged(snapshot *routing.Snapshot) {
 	d.ownCells = cellsOf(snapshot, d.self.Name)
 	d.ownership.SnapshotChanged(snapshot)
 	d.controller.SnapshotChanged(snapshot)
 }
 
-// handleControl passes a message of a peer to the part that it concerns. It is
-// called on the session's goroutine, so the reply is sent from the loop.
+// handleControl passes a control message of a peer to the loop. It is called on
+// the session's goroutine and returns no reply; the loop sends it later.
 func (d *Daemon) handleControl(from peer.Peer, message *peerv1.Control) *peerv1.Control {
 	d.loop.Post(func() {
 		reply := d.handleOnLoop(from, message)
@@ -160,6 +164,8 @@
 	return nil
 }
 
+// handleOnLoop passes a control message to the component that handles it and
+// returns the reply, nil for none.
 func (d *Daemon) handleOnLoop(from peer.Peer, message *peerv1.Control) *peerv1.Control {
 	if report := message.GetLoadReport(); report != nil {
 		d.membership.ReportSilent(from.VM, report.Silent)
@@ -178,8 +184,9 @@
 	return &peerv1.Control{Kind: &peerv1.Control_Error{Error: &peerv1.Error{Reason: "this version does not know the message"}}}
 }
 
-// requestHandler serves requests of entries, on this VM or others. It breaks
-// the cycle between transport and dispatcher.
+// requestHandler passes requests from entries, on this VM or others, to the
+// dispatcher. It lets the transport be created before the dispatcher, which
+// depends on it.
 type requestHandler struct{ d *Daemon }
 
 // Serve implements peer.RequestHandler.
--- a/internal/process/daemon/log.go
+++ b/internal/process/daemon/log.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// logBufferBytes bounds the lines that wait to be written. Above it new lines
-	// are dropped and counted: a slow reader of the log must not hold up requests.
+	// logBufferBytes bounds the buffered lines. Lines that do not fit are dropped
+	// and counted, because a slow log reader must not block requests.
 	logBufferBytes   = 256 << 10
 	logFlushInterval = 100 * time.Millisecond
 )
 
-// LogWriter gathers log lines and writes them together, since a line for each
-// routing decision would otherwise cost a system call per request. Write never
-// waits for the output. Lines wait at most 100 ms while the output takes them;
-// Close writes the rest.
+// LogWriter buffers log lines and writes them in batches, because writing each
+// routing decision on its own would cost a system call per request. Write never
+// blocks on the output. Unless the output blocks, lines are written after at most
+// 100 ms. Close writes the remaining lines.
 type LogWriter struct {
 	out io.Writer
 
 	mu      sync.Mutex
 	pending []byte
-	// dropped counts the lines that did not fit since the last report of it.
+	// dropped is the number of lines dropped since the last flush.
 	dropped int
 	timer   *time.Timer
-	// writing is held while bytes are written, so that lines stay in order.
+	// writing is held during a flush, so that lines are written in order.
 	writing sync.Mutex
 }
 
-// NewLogWriter returns a writer in front of out.
+// NewLogWriter returns a LogWriter that writes to out.
 func NewLogWriter(out io.Writer) *LogWriter { return &LogWriter{out: out} }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It never fails: a line that does not fit the
+// buffer is dropped.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -52,8 +53,8 @@
 	return len(line), nil
 }
 
-// flush writes what is pending. A log that cannot be written has nowhere to be
-// reported but in the result of Close.
+// flush writes the buffered lines, followed by the number of dropped ones. Its
+// error is reported only by Close, since there is no other log to write it to.
 func (w *LogWriter) flush() error {
 	w.writing.Lock()
 	defer w.writing.Unlock()
@@ -74,5 +75,5 @@
 	return err
 }
 
-// Close writes the gathered lines.
+// Close writes the buffered lines. It does not close the output.
 func (w *LogWriter) Close() error { return w.flush() }
--- a/internal/process/daemon/log_test.go
+++ b/internal/process/daemon/log_test.go
@@ -19,7 +19,7 @@
 	assert.Equal(t, out.String(), "line\nline\nline\n")
 }
 
-// stuck is an output that takes nothing until it is released.
+// stuck is an output that blocks until release is closed.
 type stuck struct{ release chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) {
@@ -27,7 +27,8 @@
 	return len(p), nil
 }
 
-// TestStuckOutputHoldsNobodyUp: lines beyond the bound are dropped and counted.
+// TestStuckOutputHoldsNobodyUp checks that Write does not block while the output
+// does: lines that do not fit the buffer are dropped and counted.
 func TestStuckOutputHoldsNobodyUp(t *testing.T) {
 	out := stuck{make(chan struct{})}
 	writer := NewLogWriter(out)
@@ -46,7 +47,7 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("a writer waited for the output")
+		t.Fatal("Write blocked on the output")
 	}
 	writer.mu.Lock()
 	assert.Assert(t, writer.dropped > 0 && len(writer.pending) <= logBufferBytes)
--- a/internal/process/daemon/metrics.go
+++ b/internal/process/daemon/metrics.go
@@ -10,19 +10,22 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// metricsInterval is the interval at which tally passes values to its reporter.
+// metricsInterval is the interval at which tally passes values to the
+// Prometheus reporter.
 const metricsInterval = time.Second
 
-// Metrics are the measurements of one process, in the Prometheus form.
+// Metrics holds the metrics of one daemon and exposes them in the Prometheus
+// format.
 type Metrics struct {
 	Scope    tally.Scope
 	reporter prometheus.Reporter
 	closer   io.Closer
 }
 
-// NewMetrics returns the measurements of a VM.
+// NewMetrics returns the metrics of a daemon. Each is tagged with the VM and its
+// failure domain.
 func NewMetrics(vm, failureDomain string) *Metrics {
-	// A registry of its own, since several daemons may run in one process.
+	// The global registry cannot be used: several daemons may run in one process.
 	registry := client.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -32,8 +35,8 @@
 	return &Metrics{Scope: scope, reporter: reporter, closer: closer}
 }
 
-// Handler serves the metrics.
+// Handler returns the handler that serves the metrics to Prometheus.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close ends the reporting.
+// Close stops the reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
--- a/internal/process/daemon/operators.go
+++ b/internal/process/daemon/operators.go
@@ -10,10 +10,10 @@
 	"github.com/juju/errors"
 )
 
-// operatorHeaderTimeout bounds the arrival of an operator's request head.
+// operatorHeaderTimeout bounds the time to read the header of a request.
 const operatorHeaderTimeout = 10 * time.Second
 
-// operatorsServer serves the operators' interface on a listener.
+// operatorsServer serves the operators' API on a listener.
 type operatorsServer struct {
 	server   http.Server
 	listener net.Listener
@@ -26,7 +26,7 @@
 	}
 }
 
-// Run serves until Close.
+// Run serves until Close or Shutdown.
 func (s *operatorsServer) Run() error {
 	var err error
 	if s.server.TLSConfig != nil {
@@ -40,8 +40,8 @@
 	return errors.Annotate(err, "operators' listener failed; restart the daemon")
 }
 
-// Close ends the listener and its connections.
+// Close closes the listener and its connections.
 func (s *operatorsServer) Close() error { return s.server.Close() }
 
-// Shutdown lets requests in flight end.
+// Shutdown closes the listener and waits for the requests in flight.
 func (s *operatorsServer) Shutdown(ctx context.Context) error { return s.server.Shutdown(ctx) }
--- a/internal/process/daemon/report.go
+++ b/internal/process/daemon/report.go
@@ -10,7 +10,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/routing"
 )
 
-// progress is what the reporter reads of the ownership protocol.
+// progress gives the reporter access to the state of the ownership protocol.
 type progress struct{ d *Daemon }
 
 // Progress implements reporter.Ownership.
@@ -27,17 +27,17 @@
 // Silent implements reporter.Ownership.
 func (p progress) Silent() []string { return p.d.ownership.Report(noCell).Silent }
 
-// noCell asks ownership for what does not depend on a cell.
+// noCell is the cell to pass for the parts of a report that belong to no cell.
 const noCell = ""
 
-// cellReport is what ownership reports of one cell.
+// cellReport is the ownership report of one cell.
 type cellReport struct {
 	cell string
 	ownership.Report
 }
 
-// cellReports returns the reports of the cells in which this VM has a part. It
-// runs on the loop.
+// cellReports returns the reports of the cells in which this VM is a partner,
+// without those that have neither held nor arrived rights. It runs on the loop.
 func (d *Daemon) cellReports() []cellReport {
 	var reports []cellReport
 	for _, cell := range d.ownCells {
@@ -49,8 +49,9 @@
 	return reports
 }
 
-// cellsOf returns the cells whose record names the VM as a partner, so that
-// what a VM does per second does not grow with the number of cells.
+// cellsOf returns the cells whose record names the VM as a partner of a target.
+// Only these are reported on, so that the work of a VM does not grow with the
+// number of cells.
 func cellsOf(snapshot *routing.Snapshot, vm string) []string {
 	var cells []string
 	for _, service := range snapshot.Services {
@@ -63,8 +64,8 @@
 	return cells
 }
 
-// namesVM reports whether a VM is a partner of a target, or was one until a
-// handover that is not complete.
+// namesVM reports whether a VM is a partner of a target: its dispatcher, backup
+// or witness. The previous partners count until their handover is complete.
 func namesVM(r *assignment.Rights, vm string) bool {
 	isOne := func(p *assignment.Partners) bool {
 		return p.Dispatcher.VM == vm || p.Backup.VM == vm || p.Witness.VM == vm
@@ -72,7 +73,8 @@
 	return isOne(&r.Partners) || r.Previous != nil && isOne(r.Previous)
 }
 
-// loads joins what the dispatcher measures with what ownership knows.
+// loads returns the loads of the targets that this VM dispatches to: the
+// dispatcher's measurements with the ownership state of each target.
 func (d *Daemon) loads() []*peerv1.TargetLoad {
 	held := map[string]ownership.HeldTarget{}
 	for _, report := range d.cellReports() {
--- a/internal/process/daemon/report_test.go
+++ b/internal/process/daemon/report_test.go
@@ -23,7 +23,7 @@
 	m := &manifest.Manifest{Services: []manifest.Service{{Name: "slots", Cells: 3}}}
 	snapshot := routing.New(m, 1, cells, nil)
 	for _, vm := range []string{"a", "b", "c"} {
-		assert.Equal(t, len(cellsOf(snapshot, vm)), 2, "%s is a partner here and a previous one there", vm)
+		assert.Equal(t, len(cellsOf(snapshot, vm)), 2, "%s is a partner in one cell and a previous partner in the other", vm)
 	}
 	assert.DeepEqual(t, cellsOf(snapshot, "d"), []string{"slots/1"})
 	assert.Equal(t, len(cellsOf(snapshot, "e")), 0)
--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -8,18 +8,20 @@
 )
 
 const (
-	// balancerDelay is how long the entry still serves callers that the
-	// platform's balancer sends before it notices that the VM is not ready.
+	// balancerDelay is how long the entry keeps serving new callers after the VM
+	// reports not ready: the platform's load balancer sends them until its next
+	// health check.
 	balancerDelay = time.Second
-	// handoverWait bounds the wait for the controller to name new dispatchers.
-	// After it, the recorded backups take over.
+	// handoverWait bounds the wait for the controller to assign other
+	// dispatchers. After it, the backups in the record take over.
 	handoverWait = 10 * time.Second
-	// stopPoll is the interval at which the end of work is looked for.
+	// stopPoll is the interval at which a stop checks for remaining work.
 	stopPoll = 20 * time.Millisecond
 )
 
-// stopGracefully ends new work, passes the dispatch rights on and waits for
-// what is in flight, up to the bound of the settings.
+// stopGracefully reports the VM as not ready, waits until its dispatch rights are
+// handed over and its requests in flight are answered, and removes its
+// registration. It takes at most the stop timeout of the settings.
 func (d *Daemon) stopGracefully() {
 	events.DaemonStopping.Log(&d.logger).Send()
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.StopTimeout())
@@ -36,15 +38,18 @@
 	d.removeRegistration(ctx)
 }
 
+// markLeaving marks the registration as leaving, so that the controller assigns
+// other dispatchers.
 func (d *Daemon) markLeaving(ctx context.Context) {
-	// During an outage of the store the mark cannot be written; the backups
-	// take over instead.
+	// The mark cannot be written during an outage of the store; the backups take
+	// over then.
 	if err := d.membership.Leave(ctx); err != nil {
 		d.logger.Warn().Err(err).Msg("the registration could not be marked as leaving")
 	}
 }
 
-// passRightsOn waits until other VMs dispatch to this VM's targets.
+// passRightsOn waits until other VMs have taken over all dispatch rights of this
+// VM, at most handoverWait.
 func (d *Daemon) passRightsOn(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverWait)
 	defer cancel()
@@ -54,7 +59,8 @@
 	})
 }
 
-// removeRegistration deletes the registration, for a short time at most.
+// removeRegistration deletes the VM's registration. It takes at most the timeout
+// of one store call.
 func (d *Daemon) removeRegistration(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.StoreTimeout())
 	defer cancel()
@@ -63,12 +69,14 @@
 	}
 }
 
+// waitFor polls until done returns true or ctx is canceled.
 func waitFor(ctx context.Context, done func() bool) {
 	for !done() && ctx.Err() == nil {
 		sleep(ctx, stopPoll)
 	}
 }
 
+// sleep waits for a duration or until ctx is canceled.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
