--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings reads the settings of a daemon: where it listens, who it
-// is, and where the store and its peers are.
+// Package settings reads the settings of a daemon: its identity, its listeners,
+// and the addresses of the store and its peers.
 //
-// Settings belong to one process and are read once, at its start. What the
-// deployment serves is not here but in the manifest. Decoding is strict: an
-// unknown field, a wrong type and an impossible value are errors that name
-// the field and the remedy.
+// Settings belong to one process and are read once, at its start. The services
+// and targets of the deployment are declared in the manifest instead. Decoding
+// is strict: an unknown field, a wrong type and an invalid value are errors that
+// name the field and the remedy.
 package settings
 
 import (
@@ -25,29 +25,30 @@
 	Deployment string `json:"deployment"`
 	// VM is the name of this VM, unique in the deployment.
 	VM string `json:"vm"`
-	// FailureDomain is the failure domain that this VM lies in.
+	// FailureDomain is the failure domain of this VM.
 	FailureDomain string `json:"failureDomain"`
-	// Region is the region that this VM lies in.
+	// Region is the region of this VM.
 	Region string `json:"region"`
 	// Callers configures the listener for callers.
 	Callers Listener `json:"callers"`
 	// Operators configures the listener for operators.
 	Operators Listener `json:"operators"`
-	// Peers configures the listener for the other daemons.
+	// Peers configures the listener for the other daemons of the deployment.
 	Peers PeerListener `json:"peers"`
-	// Store says where the platform's store is.
+	// Store configures access to the platform's store.
 	Store Store `json:"store"`
-	// SeedPeers lists peer addresses that a starting daemon asks when the store is out.
+	// SeedPeers lists peer addresses that a starting daemon asks while the store
+	// is unavailable.
 	SeedPeers []string `json:"seedPeers,omitempty"`
-	// Limits bounds what this process uses.
+	// Limits bounds the resource use of this process.
 	Limits Limits `json:"limits,omitzero"`
-	// Log configures the log, which goes to standard error.
+	// Log configures the log, which is written to standard error.
 	Log Log `json:"log,omitzero"`
 }
 
-// Listener is an address to listen on.
+// Listener configures an address to listen on.
 type Listener struct {
-	// Address is host:port with an IP number.
+	// Address is host:port; the host is an IP address.
 	Address string `json:"address"`
 	// TLS is required unless Plain is set.
 	TLS *TLS `json:"tls,omitempty"`
@@ -55,41 +56,45 @@
 	Plain bool `json:"plain,omitempty"`
 }
 
-// PeerListener is the listener for peers with the address that they dial.
+// PeerListener configures the listener for peers and the addresses to dial.
 type PeerListener struct {
 	Listener
 	// Advertise is the address that peers dial, if it differs from Address.
 	Advertise string `json:"advertise,omitempty"`
-	// Overrides gives the address to dial for single VMs, by name, instead of
-	// the one that they advertise.
+	// Overrides maps names of VMs to addresses to dial instead of the advertised
+	// ones.
 	Overrides map[string]string `json:"overrides,omitempty"`
 }
 
-// TLS names the files of a listener's key pair. With an authority, both sides
-// of a connection have to show a certificate that the authority signed.
+// TLS names the PEM files of a listener's key pair. With a certificate authority,
+// both sides of a connection must present a certificate signed by it.
 type TLS struct {
 	CertificateFile string `json:"certificateFile"`
 	KeyFile         string `json:"keyFile"`
-	AuthorityFile   string `json:"authorityFile,omitempty"`
+	// AuthorityFile holds the certificate authority; empty means that clients
+	// are not authenticated.
+	AuthorityFile string `json:"authorityFile,omitempty"`
 }
 
-// Store says where the platform's store is.
+// Store configures access to the platform's store.
 type Store struct {
 	// URL is the base address of the store's HTTP API.
 	URL string `json:"url"`
-	// TimeoutMillis bounds one call; 0 means 2000.
+	// TimeoutMillis is the timeout of one call; 0 means 2000.
 	TimeoutMillis int64 `json:"timeoutMillis,omitempty"`
 }
 
-// Limits bounds what this process uses. Zero values mean the defaults.
+// Limits bounds the resource use of a process. Zero values mean the defaults.
 type Limits struct {
-	// MaxSmallBodyBytes is the largest body that shares the request stream; 0 means 32768.
+	// MaxSmallBodyBytes is the largest body that is sent inside its message, on
+	// the request stream that all requests of a peer session share; 0 means 32768.
 	MaxSmallBodyBytes int `json:"maxSmallBodyBytes,omitempty"`
-	// IdleSessionSeconds closes a peer session without traffic; 0 means 60.
+	// IdleSessionSeconds is the time without traffic after which a peer session
+	// is closed; 0 means 60.
 	IdleSessionSeconds int `json:"idleSessionSeconds,omitempty"`
-	// StopSeconds bounds a graceful stop; 0 means 900.
+	// StopSeconds is the timeout of a graceful stop; 0 means 900.
 	StopSeconds int `json:"stopSeconds,omitempty"`
-	// MemoryMegabytes is the soft limit of the process's memory; 0 means none.
+	// MemoryMegabytes is the soft memory limit of the process; 0 means none.
 	MemoryMegabytes int64 `json:"memoryMegabytes,omitempty"`
 }
 
@@ -97,12 +102,12 @@
 type Log struct {
 	// Level is "debug", "info", "warn" or "error"; empty means "info".
 	Level string `json:"level,omitempty"`
-	// Decisions is "all", "none" or "refused": which routing decisions get a
-	// line. Empty means "all". Placement decisions always get one.
+	// Decisions selects the routing decisions to log: "all", "none" or
+	// "refused"; empty means "all". Placement decisions are always logged.
 	Decisions string `json:"decisions,omitempty"`
 }
 
-// Defaults.
+// Defaults, and the values of Log.Decisions.
 const (
 	DefaultStoreTimeout  = 2 * time.Second
 	DefaultMaxSmallBody  = 32 << 10
@@ -114,7 +119,8 @@
 	DecisionsRefusedOnly = "refused"
 )
 
-// Load reads, decodes and checks a settings file.
+// Load reads, decodes and validates a settings file. Errors are of kind
+// fault.Invalid.
 func Load(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -123,7 +129,7 @@
 	return Parse(content)
 }
 
-// Parse decodes and checks settings.
+// Parse decodes and validates settings. Errors are of kind fault.Invalid.
 func Parse(content []byte) (*Settings, error) {
 	s := &Settings{}
 	decoder := json.NewDecoder(bytes.NewReader(content))
@@ -140,7 +146,7 @@
 	return s, nil
 }
 
-// StoreTimeout returns the bound of one store call.
+// StoreTimeout returns the timeout of one store call.
 func (s *Settings) StoreTimeout() time.Duration {
 	if s.Store.TimeoutMillis == 0 {
 		return DefaultStoreTimeout
@@ -156,7 +162,7 @@
 	return time.Duration(s.Limits.IdleSessionSeconds) * time.Second
 }
 
-// StopTimeout returns the bound of a graceful stop.
+// StopTimeout returns the timeout of a graceful stop.
 func (s *Settings) StopTimeout() time.Duration {
 	if s.Limits.StopSeconds == 0 {
 		return DefaultStop
@@ -164,7 +170,8 @@
 	return time.Duration(s.Limits.StopSeconds) * time.Second
 }
 
-// MaxSmallBody returns the largest body, in bytes, that shares the request stream.
+// MaxSmallBody returns the size in bytes of the largest body that is sent inside
+// its message.
 func (s *Settings) MaxSmallBody() int {
 	if s.Limits.MaxSmallBodyBytes == 0 {
 		return DefaultMaxSmallBody
@@ -172,7 +179,8 @@
 	return s.Limits.MaxSmallBodyBytes
 }
 
-// PeerAddress returns the address that peers dial.
+// PeerAddress returns the address for peers to dial: the advertised one, or
+// the listen address if none is set.
 func (s *Settings) PeerAddress() string {
 	if s.Peers.Advertise != "" {
 		return s.Peers.Advertise
--- a/internal/process/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -51,7 +51,7 @@
 			assert.Assert(t, fault.Is(err, fault.Invalid), "%v", err)
 			assert.ErrorContains(t, err, `"`+c.field+`"`)
 			assert.ErrorContains(t, err, c.remedy)
-			assert.Assert(t, !strings.Contains(err.Error(), "\n"), "the error is one line")
+			assert.Assert(t, !strings.Contains(err.Error(), "\n"), "the error has more than one line")
 		})
 	}
 }
@@ -61,7 +61,7 @@
 	assert.ErrorContains(t, err, "text follows")
 }
 
-// TestPageListsEveryField keeps docs/SETTINGS.md in step with the structs.
+// TestPageListsEveryField checks that docs/SETTINGS.md documents every field.
 func TestPageListsEveryField(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/SETTINGS.md")
 	assert.NilError(t, err)
--- a/internal/process/settings/tls.go
+++ b/internal/process/settings/tls.go
@@ -8,8 +8,10 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// Config reads the files of the key pair. It returns nil for a plain listener.
-// With an authority the configuration serves both ends of a mutual connection.
+// Config returns the TLS configuration of a listener, nil for a plain one. field
+// is the listener's field in the settings, for error messages. With a certificate
+// authority, the configuration suits both the server and the client of a mutually
+// authenticated connection.
 func (l *Listener) Config(field string) (*tls.Config, error) {
 	if l.TLS == nil {
 		return nil, nil
--- a/internal/process/settings/validate.go
+++ b/internal/process/settings/validate.go
@@ -12,10 +12,10 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// namePattern is what names of deployments, VMs, failure domains and regions look like.
+// namePattern matches names of deployments, VMs, failure domains and regions.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// Bounds of the numeric settings.
+// Inclusive bounds of the numeric settings.
 const (
 	maxStoreTimeoutMillis = 60_000
 	maxSmallBodyBytes     = 1 << 20
@@ -29,7 +29,7 @@
 func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		// The decoder names embedded structs too; they are no part of the file.
+		// The decoder's path includes embedded structs, which the JSON does not.
 		field := strings.ReplaceAll(wrongType.Field, ".Listener.", ".")
 		return invalid(field, "make it a "+wrongType.Type.String(), "is a JSON %s", wrongType.Value)
 	}
@@ -39,11 +39,13 @@
 	return fault.Wrap(err, fault.Invalid, "correct the JSON syntax", "settings are not valid JSON")
 }
 
+// invalid returns an error of kind Invalid about a field; format completes the
+// sentence that begins with the field's name.
 func invalid(field, remedy, format string, args ...any) error {
 	return fault.New(fault.Invalid, remedy, "settings: field %q "+format, append([]any{field}, args...)...)
 }
 
-// validate returns the first impossible value.
+// validate returns an error for the first invalid value.
 func (s *Settings) validate() error {
 	checks := []func() error{
 		s.validateNames,
