--- a/cmd/chestnutcoursed/dev.go
+++ b/cmd/chestnutcoursed/dev.go
@@ -15,7 +15,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/manifest"
 )
 
-// The sample deployment of the dev command.
+// Parameters of the sample deployment that the dev command runs.
 const (
 	devDeployment        = "dev"
 	devRegion            = "region-1"
@@ -24,13 +24,15 @@
 	devSlots             = 2
 	devConnections       = 16
 	devServiceMillis     = 5
-	// devPortStep is the distance between the ports of two VMs.
+	// devPortStep is the offset between the ports of one VM and the next.
 	devPortStep = 10
-	// devStopSeconds bounds the graceful stop: nobody depends on a sample.
+	// devStopSeconds is the timeout of a graceful stop. It is short, because
+	// nobody depends on the sample deployment.
 	devStopSeconds = 2
 )
 
-// runDev runs a whole deployment in this process until the context ends.
+// runDev runs the sample deployment in this process until ctx is canceled and
+// returns the exit code.
 func runDev(ctx context.Context, port int) int {
 	m, closeTargets, err := sampleDeployment()
 	if err != nil {
@@ -51,7 +53,7 @@
 		daemons.Go(func() error { return d.Run(parts) })
 		fmt.Printf("%s: callers on http://%s, operators on http://%s\n", s.VM, s.Callers.Address, s.Operators.Address)
 	}
-	fmt.Println("every VM serves every key; stop with Ctrl-C; try, once it is ready (a few seconds):")
+	fmt.Println("Every VM serves every key. Stop with Ctrl-C. Once the deployment is ready (after a few seconds), try:")
 	fmt.Printf("  curl -i http://127.0.0.1:%d/slots/furnace-7\n", port)
 	fmt.Printf("  go run ./cmd/chestnutctl --server http://127.0.0.1:%d route --service slots furnace-7\n", port+1)
 	if err := daemons.Wait(); err != nil {
@@ -60,7 +62,8 @@
 	return 0
 }
 
-// sampleSettings returns the settings of a VM whose three listeners begin at a port.
+// sampleSettings returns the settings of the VM with index i. Its listeners for
+// callers, operators and peers use consecutive ports from port on.
 func sampleSettings(i, port int) *settings.Settings {
 	address := func(offset int) settings.Listener {
 		return settings.Listener{Address: fmt.Sprintf("127.0.0.1:%d", port+offset), Plain: true}
@@ -77,13 +80,15 @@
 
 func sampleDomain(i int) string { return fmt.Sprintf("domain-%d", i%devVMs+1) }
 
+// failed prints an error and returns the exit code.
 func failed(err error) int {
 	fmt.Fprintln(os.Stderr, err)
 	return exitFailed
 }
 
-// sampleDeployment starts the sample targets and declares them: one keyed and
-// one freely placed service.
+// sampleDeployment starts the sample targets and returns a manifest that declares
+// them, with one keyed and one freely placed service, and a function that stops
+// the targets.
 func sampleDeployment() (*manifest.Manifest, func(), error) {
 	m := &manifest.Manifest{
 		Format: manifest.FormatVersion, Deployment: devDeployment,
@@ -133,7 +138,8 @@
 	return target
 }
 
-// sampleStore returns a store in this process with the manifest in it.
+// sampleStore returns an in-memory store that holds the manifest and the
+// platform's list of live VMs.
 func sampleStore(ctx context.Context, m *manifest.Manifest) (store.Store, error) {
 	platform := store.NewMemory()
 	value, err := json.Marshal(manifest.Envelope{OperationID: "dev", Manifest: m})
--- a/cmd/chestnutcoursed/main.go
+++ b/cmd/chestnutcoursed/main.go
@@ -1,5 +1,5 @@
-// Command chestnutcoursed is the daemon that runs on every entry VM, with
-// every role in it.
+// Command chestnutcoursed is the daemon that runs on every entry VM, in all roles:
+// entry, dispatcher and controller.
 package main
 
 import (
@@ -28,14 +28,14 @@
 	app := kingpin.New("chestnutcoursed", "Routes requests to the servers that own their keys. Runs on every entry VM.")
 	run := app.Command("run", "Run the daemon until SIGTERM or SIGINT, then stop gracefully.")
 	runFile := run.Flag("settings", "JSON file with the settings of this daemon (docs/SETTINGS.md).").Required().String()
-	serve := app.Command("serve", "Run the daemon on the users' platform until SIGTERM or SIGINT, then stop gracefully.")
+	serve := app.Command("serve", "Run the daemon with a settings file of the platform until SIGTERM or SIGINT, then stop gracefully.")
 	serveFile := serve.Flag("settings", "Settings file of the platform.").Envar("CHESTNUTCOURSE_CONFIG").Required().String()
-	serveAdvertise := serve.Flag("advertise", "host:port that other VMs connect to, if it is not the address that this one listens on.").String()
-	check := app.Command("check", "Check a settings file and start nothing.")
-	checkFile := check.Flag("settings", "File to check.").Required().String()
-	checkPlatform := check.Flag("platform", "The file is one of the platform, for serve, instead of JSON.").Bool()
-	dev := app.Command("dev", "Run a whole deployment in one process, with sample targets, to try things out.")
-	devPort := dev.Flag("port", "Port for callers; the next ones are for operators and peers, and further VMs.").Default("8080").Int()
+	serveAdvertise := serve.Flag("advertise", "host:port that other VMs connect to; the listen address by default.").String()
+	check := app.Command("check", "Check a settings file without starting the daemon.")
+	checkFile := check.Flag("settings", "Settings file to check.").Required().String()
+	checkPlatform := check.Flag("platform", "The file is a settings file of the platform, as for serve, instead of JSON.").Bool()
+	dev := app.Command("dev", "Run a sample deployment with sample targets in one process, to try things out.")
+	devPort := dev.Flag("port", "Port for callers of the first VM; the next ones are for operators, peers and the other VMs.").Default("8080").Int()
 
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
@@ -58,6 +58,7 @@
 	}
 }
 
+// checkSettings checks a settings file and returns the exit code.
 func checkSettings(path string, ofPlatform bool) int {
 	load := func() error { _, err := settings.Load(path); return err }
 	if ofPlatform {
@@ -71,6 +72,7 @@
 	return 0
 }
 
+// runDaemon runs the daemon until ctx is canceled and returns the exit code.
 func runDaemon(ctx context.Context, path string) int {
 	s, err := settings.Load(path)
 	if err != nil {
@@ -92,7 +94,7 @@
 	return 0
 }
 
-// logger writes JSON lines to standard error.
+// logger returns a logger that writes JSON lines to standard error.
 func logger(s *settings.Settings) zerolog.Logger {
 	level, err := zerolog.ParseLevel(s.Log.Level)
 	if err != nil || s.Log.Level == "" {
--- a/cmd/chestnutcoursed/platform.go
+++ b/cmd/chestnutcoursed/platform.go
@@ -20,19 +20,22 @@
 )
 
 const (
-	// deployment names the sessions between VMs; on the platform VMs find each
-	// other in its store, which belongs to one deployment.
+	// deployment is the deployment name in sessions between VMs. On the platform
+	// it can be constant: VMs discover each other in the platform's store, which
+	// belongs to one deployment.
 	deployment = "platform"
-	// memoryShare is the share of the memory limit at which the runtime collects
-	// garbage more eagerly.
+	// memoryShare is the share of the VM's memory that is set as the runtime's
+	// soft limit; close to it the runtime collects garbage more often.
 	memoryShare = 0.7
-	// collectAt is the growth of the heap in percent that starts a collection;
-	// memory is dearer than processor time there.
+	// collectAt is the heap growth in percent that starts a garbage collection.
+	// It is below Go's default of 100, because memory costs more than processor
+	// time on the platform.
 	collectAt = 50
 )
 
-// fitRuntime fits the Go runtime to the VM. More threads than cores only wake each
-// other up, an eighth of the processor time of a deployment at 570 requests/s.
+// fitRuntime configures the Go runtime for the cores and memory of the VM. With
+// more threads than cores, an eighth of the processor time of a deployment at
+// 570 requests/s is spent on threads that wake each other up.
 func fitRuntime(s *platform.Settings) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(s.Processor)), 1))
 	debug.SetGCPercent(collectAt)
@@ -41,8 +44,9 @@
 	}
 }
 
-// runOnPlatform runs the daemon on the users' platform. advertised is where other
-// VMs connect, empty for the address that this one listens on.
+// runOnPlatform runs the daemon with a settings file of the platform until ctx is
+// canceled and returns the exit code. advertised is the address for other VMs to
+// connect to; empty means the listen address.
 func runOnPlatform(ctx context.Context, path, advertised string) int {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
@@ -66,9 +70,10 @@
 	return 0
 }
 
-// readOnHangUp checks the settings file again on each SIGHUP, until the process
-// ends. What may change at runtime is in the store, so a change of the file counts
-// from the next start.
+// readOnHangUp loads the settings file again on each SIGHUP, until the process
+// ends, and logs whether it is valid and differs from the settings in force. A
+// changed file takes effect at the next start; configuration that may change at
+// runtime is in the store.
 func readOnHangUp(hangUps <-chan os.Signal, path string, inForce *platform.Settings, logger *zerolog.Logger) {
 	for range hangUps {
 		read, err := platform.LoadSettings(path)
@@ -80,6 +85,7 @@
 	}
 }
 
+// gatewaySettings converts the platform's settings to those of the gateway.
 func gatewaySettings(s *platform.Settings, advertised string) gateway.Settings {
 	return gateway.Settings{
 		VM: s.VM, FailureDomain: s.FailureDomain,
@@ -95,6 +101,8 @@
 	}
 }
 
+// platformParts returns the platform's implementations that the gateway uses. An
+// object of the store that cannot be decoded is logged.
 func platformParts(s *platform.Settings, logger *zerolog.Logger) gateway.Platform {
 	unreadable := func(kind string, err error) {
 		events.DeclarationInvalid.Log(logger).Str("kind", kind).Err(err).Send()
