--- a/cmd/chestnutctl/client.go
+++ b/cmd/chestnutctl/client.go
@@ -14,13 +14,13 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// client calls the operators' API of the first server that can be reached.
+// client calls the operators' API of the first server that accepts a connection.
 type client struct {
 	servers []string
 	http    *http.Client
 }
 
-// apiError is an error that the server answered.
+// apiError is an error response of the server.
 type apiError struct {
 	body operatorv1.Error
 }
@@ -28,12 +28,12 @@
 // Error returns the server's message and remedy.
 func (e *apiError) Error() string { return e.body.Message + "; " + e.body.Remedy }
 
-// Unwrap returns the error with its kind.
+// Unwrap returns a fault.Error with the kind that the server reported.
 func (e *apiError) Unwrap() error {
 	return fault.New(e.body.Kind, e.body.Remedy, "%s", e.body.Message)
 }
 
-// get reads a resource.
+// get reads a resource and decodes the response into result.
 func (c *client) get(path string, query url.Values, result any) error {
 	if len(query) > 0 {
 		path += "?" + query.Encode()
@@ -41,16 +41,18 @@
 	return c.call(http.MethodGet, path, nil, result)
 }
 
-// post makes a change.
+// post submits a change and decodes the response into result.
 func (c *client) post(path string, body, result any) error {
 	content, err := json.Marshal(body)
 	if err != nil {
-		return fault.Wrap(err, fault.Invalid, "correct the input", "the request cannot be written as JSON")
+		return fault.Wrap(err, fault.Invalid, "correct the input", "the request cannot be encoded as JSON")
 	}
 	return c.call(http.MethodPost, path, content, result)
 }
 
-// call tries the servers in turn while the request certainly reached none.
+// call sends a request to each server in turn until one accepts a connection.
+// Other errors are not retried on the next server, because the request may have
+// taken effect.
 func (c *client) call(method, path string, body []byte, result any) error {
 	var err error
 	for _, server := range c.servers {
@@ -71,21 +73,23 @@
 	return lost(err, method)
 }
 
-// notConnected reports whether no connection was opened.
+// notConnected reports whether err means that no connection was established, so
+// the request has not been sent.
 func notConnected(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// lost classifies a call without an answer.
+// lost returns the error of a call without a response. Reads and calls that never
+// connected are Unavailable; a change that was sent has an UnknownOutcome.
 func lost(cause error, method string) error {
 	if method == http.MethodGet || notConnected(cause) {
 		return fault.Wrap(cause, fault.Unavailable, "name another VM with --server", "no server answered")
 	}
-	return fault.Wrap(cause, fault.UnknownOutcome, "repeat the command with the same --operation; it takes effect at most once", "the server gave no answer to the change")
+	return fault.Wrap(cause, fault.UnknownOutcome, "repeat the command with the same --operation; it takes effect at most once", "the server did not answer the change")
 }
 
-// decode reads an answer or the error in its place.
+// decode decodes a response into result, or returns the error that it holds.
 func decode(response *http.Response, method string, result any) error {
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
@@ -94,13 +98,13 @@
 	}
 	if response.StatusCode == http.StatusOK {
 		if err := json.Unmarshal(content, result); err != nil {
-			return fault.Wrap(err, fault.UnknownOutcome, "check that --server is an operators' address", "the answer cannot be read")
+			return fault.Wrap(err, fault.UnknownOutcome, "check that --server is the address of an operators' API", "the response cannot be decoded")
 		}
 		return nil
 	}
 	refused := &apiError{}
 	if err := json.Unmarshal(content, &refused.body); err != nil || refused.body.Kind == "" {
-		return fault.New(fault.UnknownOutcome, "check that --server is an operators' address", "the server answered with status %d", response.StatusCode)
+		return fault.New(fault.UnknownOutcome, "check that --server is the address of an operators' API", "the server answered with status %d", response.StatusCode)
 	}
 	return refused
 }
--- a/cmd/chestnutctl/main.go
+++ b/cmd/chestnutctl/main.go
@@ -1,7 +1,8 @@
-// Command chestnutctl is the operators' tool: it validates and submits
-// manifests, drains and restores, and shows what is in force and where keys go.
+// Command chestnutctl is the operators' tool. It validates and submits manifests,
+// drains and restores targets, VMs and failure domains, explains how keys are
+// routed, shows the status of the deployment, and generates load.
 //
-// Exit codes are stable, for use in pipelines; see docs/OPERATORS.md.
+// Exit codes are stable, for use in scripts; see docs/OPERATORS.md.
 package main
 
 import (
@@ -12,17 +13,19 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// registrations add the groups of commands.
+// registrations add the commands to the application.
 var registrations = []func(*kingpin.Application, *session){
 	registerManifest, registerTargets, registerSlices, registerRoute, registerDrain, registerStatus, registerLoad,
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// termination ends the parsing of a command line, e.g. after --help.
+// termination is the panic value that carries an exit code from the command line
+// parser, which terminates the process after --help, for example, to run.
 type termination int
 
-// run executes a command line and returns the exit code.
+// run executes a command line and returns the exit code. It does not exit the
+// process, so that tests can call it.
 func run(args []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
 		if ended, ok := recover().(termination); ok {
@@ -44,7 +47,7 @@
 	return exitDone
 }
 
-// usageError reports a wrong command line.
+// usageError prints an invalid command line's error and returns the exit code.
 func usageError(stderr io.Writer, err error) int {
 	fmt.Fprintf(stderr, "chestnutctl: %v; see chestnutctl --help\n", err)
 	return exitInvalid
--- a/cmd/chestnutctl/main_test.go
+++ b/cmd/chestnutctl/main_test.go
@@ -19,7 +19,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/manifest"
 )
 
-// server answers each path with a status and a body, and keeps the last request.
+// server is a fake of the operators' API. It answers each path with a fixed
+// status and body, and records the body of the last request.
 type server struct {
 	url string
 
@@ -56,14 +57,16 @@
 	return s
 }
 
-// set says what a path answers; status 0 breaks the connection.
+// set sets the response to a method and path; status 0 closes the connection
+// without a response.
 func (s *server) set(path string, status int, body any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers[path] = answer{status, body}
 }
 
-// execute runs a command line against the server.
+// execute runs a command line against the server. An unreachable server is named
+// before it, so that each call fails over to the second address.
 func (s *server) execute(args ...string) (code int, stdout, stderr string) {
 	var out, errOut bytes.Buffer
 	code = run(append([]string{"--server", "http://127.0.0.1:1", "--server", s.url}, args...), &out, &errOut)
--- a/cmd/chestnutctl/routes.go
+++ b/cmd/chestnutctl/routes.go
@@ -11,7 +11,7 @@
 )
 
 func registerTargets(app *kingpin.Application, s *session) {
-	command := app.Command("targets", "List the targets with their dispatchers and what they own.")
+	command := app.Command("targets", "List the targets with their dispatchers and the number of slices and hot keys that they own.")
 	service := command.Flag("service", "Only targets of this service.").String()
 	command.Action(func(*kingpin.ParseContext) error {
 		var rows []operatorv1.Target
@@ -41,7 +41,7 @@
 }
 
 func registerRoute(app *kingpin.Application, s *session) {
-	command := app.Command("route", "Explain where a key goes and why.")
+	command := app.Command("route", "Explain to which target a key is routed, and why.")
 	key := command.Arg("key", "The key.").Required().String()
 	service := command.Flag("service", "The service.").Required().String()
 	command.Action(func(*kingpin.ParseContext) error {
@@ -71,7 +71,7 @@
 }
 
 func registerStatus(app *kingpin.Application, s *session) {
-	command := app.Command("status", "Show the server's own state and the VMs that it knows.")
+	command := app.Command("status", "Show the state of the server and the VMs that it knows.")
 	command.Action(func(*kingpin.ParseContext) error {
 		var status operatorv1.Status
 		return s.show(operatorv1.PathStatus, nil, &status, func(w io.Writer) {
@@ -85,7 +85,7 @@
 	})
 }
 
-// show reads a resource and prints it.
+// show reads a resource into result and prints it; text prints the text form.
 func (s *session) show(path string, query url.Values, result any, text func(io.Writer)) error {
 	c, err := s.client()
 	if err != nil {
--- a/cmd/chestnutctl/session.go
+++ b/cmd/chestnutctl/session.go
@@ -30,13 +30,13 @@
 	exitNotInForce  = 8
 )
 
-// Forms of output.
+// Values of --output.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// session holds what all commands share.
+// session holds the output streams and the flags that all commands share.
 type session struct {
 	stdout, stderr io.Writer
 	servers        []string
@@ -49,13 +49,13 @@
 
 // addFlags adds the flags that all commands share.
 func (s *session) addFlags(app *kingpin.Application) {
-	app.Flag("server", "Operators' address of a VM; repeat it to name others to try when one cannot be reached.").
+	app.Flag("server", "Operators' address of a VM; repeat it to name others to try if one cannot be reached.").
 		Default("http://127.0.0.1:8081").Envar("CHESTNUTCTL_SERVER").StringsVar(&s.servers)
-	app.Flag("output", "Form of the output.").Short('o').Default(outputText).EnumVar(&s.output, outputText, outputJSON)
-	app.Flag("timeout", "Longest time for one call.").Default("15s").DurationVar(&s.timeout)
-	app.Flag("tls-authority", "File with the certificate of the authority that signs the servers'.").StringVar(&s.authorityFile)
-	app.Flag("tls-certificate", "File with the own certificate.").StringVar(&s.certificate)
-	app.Flag("tls-key", "File with the key of the own certificate.").StringVar(&s.key)
+	app.Flag("output", "Output format: text or json.").Short('o').Default(outputText).EnumVar(&s.output, outputText, outputJSON)
+	app.Flag("timeout", "Timeout of one call.").Default("15s").DurationVar(&s.timeout)
+	app.Flag("tls-authority", "PEM file with the authority that signs the servers' certificates.").StringVar(&s.authorityFile)
+	app.Flag("tls-certificate", "PEM file with the client certificate.").StringVar(&s.certificate)
+	app.Flag("tls-key", "PEM file with the key of the client certificate.").StringVar(&s.key)
 }
 
 // client returns a client of the operators' API.
@@ -68,7 +68,8 @@
 	return &client{servers: s.servers, http: &http.Client{Transport: transport, Timeout: s.timeout}}, nil
 }
 
-// tlsConfig reads the files that the flags name; nil if there are none.
+// tlsConfig returns the TLS configuration that the flags describe, nil if they
+// name no file.
 func (s *session) tlsConfig() (*tls.Config, error) {
 	if s.authorityFile == "" && s.certificate == "" {
 		return nil, nil
@@ -91,7 +92,8 @@
 	return config, nil
 }
 
-// print writes a result as JSON, or as text by the function given.
+// print writes a result in the format of --output. text writes the text form;
+// tabs in it separate columns.
 func (s *session) print(result any, text func(w io.Writer)) error {
 	if s.output == outputJSON {
 		encoder := json.NewEncoder(s.stdout)
@@ -103,7 +105,8 @@
 	return table.Flush()
 }
 
-// fail reports an error and returns its exit code.
+// fail prints an error and returns its exit code. Errors of no known kind are
+// those of the command line.
 func (s *session) fail(err error) int {
 	var refused *apiError
 	var typed *fault.Error
@@ -122,7 +125,7 @@
 	return usageError(s.stderr, err)
 }
 
-// printRefusal reports what the server answered.
+// printRefusal prints an error response of the server with its problems.
 func (s *session) printRefusal(refused *apiError) {
 	if s.output == outputJSON {
 		encoder := json.NewEncoder(s.stderr)
