--- a/internal/process/daemon/build.go
+++ b/internal/process/daemon/build.go
@@ -99,7 +99,7 @@
 	})
 	d.reporter = reporter.New(reporter.Config{
 		Self: d.holder(), Region: d.self.Region, Loop: d.loop, Sender: d.transport, Snapshot: d.distribution.Snapshot,
-		Loads: d.loads, Ownership: progress{d},
+		Loads: d.loads, Ownership: ownershipProgress{d},
 	})
 }
 
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -53,9 +53,9 @@
 	callers      *entry.Server
 	operators    *operatorsServer
 
-	// ownCells are the cells in which this VM is a partner of a target. It is
+	// partnerCells are the cells in which this VM is a partner of a target. It is
 	// accessed only on the loop.
-	ownCells []string
+	partnerCells []string
 	// rights is the table of dispatch rights that the dispatcher consults for
 	// each request.
 	rights atomic.Pointer[rights.Table]
@@ -87,10 +87,10 @@
 // that failed, or nil.
 func (d *Daemon) Run(ctx context.Context) error {
 	// The components outlive ctx, because a graceful stop still needs them.
-	parts, stopParts := context.WithCancel(context.Background())
-	defer stopParts()
-	group, parts := errgroup.WithContext(parts)
-	d.start(parts, group)
+	componentsCtx, stopComponents := context.WithCancel(context.Background())
+	defer stopComponents()
+	group, componentsCtx := errgroup.WithContext(componentsCtx)
+	d.start(componentsCtx, group)
 	events.DaemonStarted.Log(&d.logger).Str("incarnation", d.self.Incarnation).
 		Str("callers", d.settings.Callers.Address).Str("operators", d.settings.Operators.Address).
 		Str("peers", d.self.PeerAddress).Send()
@@ -98,10 +98,10 @@
 	select {
 	case <-ctx.Done():
 	case <-d.replaced:
-	case <-parts.Done():
+	case <-componentsCtx.Done():
 	}
 	d.stopGracefully()
-	stopParts()
+	stopComponents()
 	d.close()
 	err := group.Wait()
 	events.DaemonStopped.Log(&d.logger).Send()
@@ -143,7 +143,7 @@
 // snapshotChanged passes a new routing snapshot to the components that depend
 // on it. It runs on the loop.
 func (d *Daemon) snapshotChanged(snapshot *routing.Snapshot) {
-	d.ownCells = cellsOf(snapshot, d.self.Name)
+	d.partnerCells = cellsOf(snapshot, d.self.Name)
 	d.ownership.SnapshotChanged(snapshot)
 	d.controller.SnapshotChanged(snapshot)
 }
--- a/internal/process/daemon/log.go
+++ b/internal/process/daemon/log.go
@@ -30,8 +30,8 @@
 	// dropped is the number of lines dropped since the last flush.
 	dropped int
 	timer   *time.Timer
-	// writing is held during a flush, so that lines are written in order.
-	writing sync.Mutex
+	// flushMu is held during a flush, so that lines are written in order.
+	flushMu sync.Mutex
 }
 
 // NewLogWriter returns a LogWriter that writes to out.
@@ -56,17 +56,17 @@
 // flush writes the buffered lines, followed by the number of dropped ones. Its
 // error is reported only by Close, since there is no other log to write it to.
 func (w *LogWriter) flush() error {
-	w.writing.Lock()
-	defer w.writing.Unlock()
+	w.flushMu.Lock()
+	defer w.flushMu.Unlock()
 	w.mu.Lock()
 	lines, dropped := w.pending, w.dropped
 	w.pending, w.dropped, w.timer = nil, 0, nil
 	w.mu.Unlock()
 	if dropped > 0 {
-		report := bytes.NewBuffer(lines)
-		logger := zerolog.New(report).With().Timestamp().Logger()
+		buffer := bytes.NewBuffer(lines)
+		logger := zerolog.New(buffer).With().Timestamp().Logger()
 		events.LogLinesDropped.Log(&logger).Int("count", dropped).Send()
-		lines = report.Bytes()
+		lines = buffer.Bytes()
 	}
 	if len(lines) == 0 {
 		return nil
--- a/internal/process/daemon/log_test.go
+++ b/internal/process/daemon/log_test.go
@@ -19,10 +19,10 @@
 	assert.Equal(t, out.String(), "line\nline\nline\n")
 }
 
-// stuck is an output that blocks until release is closed.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output that blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
@@ -30,7 +30,7 @@
 // TestStuckOutputHoldsNobodyUp checks that Write does not block while the output
 // does: lines that do not fit the buffer are dropped and counted.
 func TestStuckOutputHoldsNobodyUp(t *testing.T) {
-	out := stuck{make(chan struct{})}
+	out := blockedWriter{make(chan struct{})}
 	writer := NewLogWriter(out)
 	line := bytes.Repeat([]byte("x"), 1<<10)
 	done := make(chan struct{})
--- a/internal/process/daemon/report.go
+++ b/internal/process/daemon/report.go
@@ -10,11 +10,11 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/routing"
 )
 
-// progress gives the reporter access to the state of the ownership protocol.
-type progress struct{ d *Daemon }
+// ownershipProgress gives the reporter access to the state of the ownership protocol.
+type ownershipProgress struct{ d *Daemon }
 
 // Progress implements reporter.Ownership.
-func (p progress) Progress() []reporter.Progress {
+func (p ownershipProgress) Progress() []reporter.Progress {
 	var all []reporter.Progress
 	for _, report := range p.d.cellReports() {
 		all = append(all, reporter.Progress{
@@ -25,7 +25,7 @@
 }
 
 // Silent implements reporter.Ownership.
-func (p progress) Silent() []string { return p.d.ownership.Report(noCell).Silent }
+func (p ownershipProgress) Silent() []string { return p.d.ownership.Report(noCell).Silent }
 
 // noCell is the cell to pass for the parts of a report that belong to no cell.
 const noCell = ""
@@ -40,7 +40,7 @@
 // without those that have neither held nor arrived rights. It runs on the loop.
 func (d *Daemon) cellReports() []cellReport {
 	var reports []cellReport
-	for _, cell := range d.ownCells {
+	for _, cell := range d.partnerCells {
 		report := d.ownership.Report(cell)
 		if len(report.Held) > 0 || len(report.Arrived) > 0 {
 			reports = append(reports, cellReport{cell, report})
@@ -56,7 +56,7 @@
 	var cells []string
 	for _, service := range snapshot.Services {
 		for _, cell := range service.Cells {
-			if cell != nil && slices.ContainsFunc(cell.Assignment.Targets, func(r assignment.Rights) bool { return namesVM(&r, vm) }) {
+			if cell != nil && slices.ContainsFunc(cell.Assignment.Targets, func(r assignment.Rights) bool { return isPartner(&r, vm) }) {
 				cells = append(cells, cell.Assignment.ID)
 			}
 		}
@@ -64,13 +64,13 @@
 	return cells
 }
 
-// namesVM reports whether a VM is a partner of a target: its dispatcher, backup
+// isPartner reports whether a VM is a partner of a target: its dispatcher, backup
 // or witness. The previous partners count until their handover is complete.
-func namesVM(r *assignment.Rights, vm string) bool {
-	isOne := func(p *assignment.Partners) bool {
+func isPartner(r *assignment.Rights, vm string) bool {
+	matches := func(p *assignment.Partners) bool {
 		return p.Dispatcher.VM == vm || p.Backup.VM == vm || p.Witness.VM == vm
 	}
-	return isOne(&r.Partners) || r.Previous != nil && isOne(r.Previous)
+	return matches(&r.Partners) || r.Previous != nil && matches(r.Previous)
 }
 
 // loads returns the loads of the targets that this VM dispatches to: the
--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// balancerDelay is how long the entry keeps serving new callers after the VM
+	// loadBalancerDelay is how long the entry keeps serving new callers after the VM
 	// reports not ready: the platform's load balancer sends them until its next
 	// health check.
-	balancerDelay = time.Second
-	// handoverWait bounds the wait for the controller to assign other
+	loadBalancerDelay = time.Second
+	// handoverTimeout bounds the wait for the controller to assign other
 	// dispatchers. After it, the backups in the record take over.
-	handoverWait = 10 * time.Second
-	// stopPoll is the interval at which a stop checks for remaining work.
-	stopPoll = 20 * time.Millisecond
+	handoverTimeout = 10 * time.Second
+	// stopPollInterval is the interval at which a stop checks for remaining work.
+	stopPollInterval = 20 * time.Millisecond
 )
 
 // stopGracefully reports the VM as not ready, waits until its dispatch rights are
@@ -29,10 +29,10 @@
 	d.leaving.Store(true)
 	d.loop.Call(d.ownership.Leave)
 	go d.markLeaving(ctx)
-	sleep(ctx, balancerDelay)
+	sleep(ctx, loadBalancerDelay)
 	callersDone := make(chan struct{})
 	go func() { _ = d.callers.Shutdown(ctx); close(callersDone) }()
-	d.passRightsOn(ctx)
+	d.awaitHandover(ctx)
 	waitFor(ctx, func() bool { return d.dispatcher.InFlightTotal() == 0 })
 	<-callersDone
 	d.removeRegistration(ctx)
@@ -48,10 +48,10 @@
 	}
 }
 
-// passRightsOn waits until other VMs have taken over all dispatch rights of this
+// awaitHandover waits until other VMs have taken over all dispatch rights of this
 // VM, at most handoverWait.
-func (d *Daemon) passRightsOn(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handoverWait)
+func (d *Daemon) awaitHandover(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	waitFor(ctx, func() bool {
 		held := 0
@@ -72,7 +72,7 @@
 // waitFor polls until done returns true or ctx is canceled.
 func waitFor(ctx context.Context, done func() bool) {
 	for !done() && ctx.Err() == nil {
-		sleep(ctx, stopPoll)
+		sleep(ctx, stopPollInterval)
 	}
 }
 
