--- a/internal/process/settings/validate.go
+++ b/internal/process/settings/validate.go
@@ -27,11 +27,11 @@
 
 // decodeError turns an error of the JSON decoder into one that names the field.
 func decodeError(err error) error {
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
 		// The decoder's path includes embedded structs, which the JSON does not.
-		field := strings.ReplaceAll(wrongType.Field, ".Listener.", ".")
-		return invalid(field, "make it a "+wrongType.Type.String(), "is a JSON %s", wrongType.Value)
+		field := strings.ReplaceAll(typeErr.Field, ".Listener.", ".")
+		return invalid(field, "make it a "+typeErr.Type.String(), "is a JSON %s", typeErr.Value)
 	}
 	if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		return invalid(strings.Trim(field, `"`), "remove it or correct its name (docs/SETTINGS.md lists the fields)", "is not a setting")
@@ -52,7 +52,7 @@
 		func() error { return s.Callers.validate("callers") },
 		func() error { return s.Operators.validate("operators") },
 		func() error { return s.Peers.validate("peers") },
-		s.validateAdvertise,
+		s.validatePeers,
 		s.validateStore,
 		s.validateSeedPeers,
 		s.validateLimits,
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (s *Settings) validateAdvertise() error {
+func (s *Settings) validatePeers() error {
 	if s.Peers.TLS != nil && s.Peers.TLS.AuthorityFile == "" {
 		return invalid("peers.tls.authorityFile", "set it; peers authenticate each other", "is missing")
 	}
