--- a/cmd/chestnutcoursed/dev.go
+++ b/cmd/chestnutcoursed/dev.go
@@ -23,7 +23,7 @@
 	devTargetsPerService = 3
 	devSlots             = 2
 	devConnections       = 16
-	devServiceMillis     = 5
+	devServiceTimeMillis = 5
 	// devPortStep is the offset between the ports of one VM and the next.
 	devPortStep = 10
 	// devStopSeconds is the timeout of a graceful stop. It is short, because
@@ -36,28 +36,28 @@
 func runDev(ctx context.Context, port int) int {
 	m, closeTargets, err := sampleDeployment()
 	if err != nil {
-		return failed(err)
+		return fail(err)
 	}
 	defer closeTargets()
 	platform, err := sampleStore(ctx, m)
 	if err != nil {
-		return failed(err)
+		return fail(err)
 	}
-	daemons, parts := errgroup.WithContext(ctx)
+	daemons, daemonsCtx := errgroup.WithContext(ctx)
 	for i := range devVMs {
 		s := sampleSettings(i, port+i*devPortStep)
 		d, err := daemon.New(s, platform, logger(s))
 		if err != nil {
-			return failed(err)
+			return fail(err)
 		}
-		daemons.Go(func() error { return d.Run(parts) })
+		daemons.Go(func() error { return d.Run(daemonsCtx) })
 		fmt.Printf("%s: callers on http://%s, operators on http://%s\n", s.VM, s.Callers.Address, s.Operators.Address)
 	}
 	fmt.Println("Every VM serves every key. Stop with Ctrl-C. Once the deployment is ready (after a few seconds), try:")
 	fmt.Printf("  curl -i http://127.0.0.1:%d/slots/furnace-7\n", port)
 	fmt.Printf("  go run ./cmd/chestnutctl --server http://127.0.0.1:%d route --service slots furnace-7\n", port+1)
 	if err := daemons.Wait(); err != nil {
-		return failed(err)
+		return fail(err)
 	}
 	return 0
 }
@@ -69,7 +69,7 @@
 		return settings.Listener{Address: fmt.Sprintf("127.0.0.1:%d", port+offset), Plain: true}
 	}
 	return &settings.Settings{
-		Deployment: devDeployment, VM: sampleVM(i), FailureDomain: sampleDomain(i), Region: devRegion,
+		Deployment: devDeployment, VM: sampleVM(i), FailureDomain: sampleFailureDomain(i), Region: devRegion,
 		Callers: address(0), Operators: address(1), Peers: settings.PeerListener{Listener: address(2)},
 		Limits: settings.Limits{StopSeconds: devStopSeconds},
 		Log:    settings.Log{Level: "warn"},
@@ -78,10 +78,10 @@
 
 func sampleVM(i int) string { return fmt.Sprintf("vm-%d", i+1) }
 
-func sampleDomain(i int) string { return fmt.Sprintf("domain-%d", i%devVMs+1) }
+func sampleFailureDomain(i int) string { return fmt.Sprintf("domain-%d", i%devVMs+1) }
 
-// failed prints an error and returns the exit code.
-func failed(err error) int {
+// fail prints an error and returns the exit code.
+func fail(err error) int {
 	fmt.Fprintln(os.Stderr, err)
 	return exitFailed
 }
@@ -104,7 +104,7 @@
 		},
 	}
 	for i := range devVMs {
-		m.FailureDomains = append(m.FailureDomains, manifest.FailureDomain{Name: sampleDomain(i), Region: devRegion})
+		m.FailureDomains = append(m.FailureDomains, manifest.FailureDomain{Name: sampleFailureDomain(i), Region: devRegion})
 	}
 	var servers []*faketarget.Server
 	closeAll := func() {
@@ -122,7 +122,7 @@
 			}
 			servers = append(servers, server)
 			m.Targets = append(m.Targets, manifest.Target{
-				Name: name, Service: m.Services[i].Name, Address: server.Address(), FailureDomain: sampleDomain(number),
+				Name: name, Service: m.Services[i].Name, Address: server.Address(), FailureDomain: sampleFailureDomain(number),
 				Slots: devSlots, Connections: devConnections,
 			})
 		}
@@ -131,7 +131,7 @@
 }
 
 func sampleTarget(name string, placement manifest.Placement) faketarget.Settings {
-	target := faketarget.Settings{Incarnation: name + "-1", Slots: devSlots, ServiceMillis: devServiceMillis, ChecksFences: true}
+	target := faketarget.Settings{Incarnation: name + "-1", Slots: devSlots, ServiceMillis: devServiceTimeMillis, ChecksFences: true}
 	if placement == manifest.Keyed {
 		target.Grants = faketarget.GrantsExpire
 	}
--- a/cmd/chestnutcoursed/main.go
+++ b/cmd/chestnutcoursed/main.go
@@ -59,9 +59,9 @@
 }
 
 // checkSettings checks a settings file and returns the exit code.
-func checkSettings(path string, ofPlatform bool) int {
+func checkSettings(path string, platformFile bool) int {
 	load := func() error { _, err := settings.Load(path); return err }
-	if ofPlatform {
+	if platformFile {
 		load = func() error { _, err := platform.LoadSettings(path); return err }
 	}
 	if err := load(); err != nil {
--- a/cmd/chestnutcoursed/platform.go
+++ b/cmd/chestnutcoursed/platform.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// deployment is the deployment name in sessions between VMs. On the platform
+	// platformDeployment is the platformDeployment name in sessions between VMs. On the platform
 	// it can be constant: VMs discover each other in the platform's store, which
-	// belongs to one deployment.
-	deployment = "platform"
-	// memoryShare is the share of the VM's memory that is set as the runtime's
+	// belongs to one platformDeployment.
+	platformDeployment = "platform"
+	// memoryLimitShare is the share of the VM's memory that is set as the runtime's
 	// soft limit; close to it the runtime collects garbage more often.
-	memoryShare = 0.7
-	// collectAt is the heap growth in percent that starts a garbage collection.
+	memoryLimitShare = 0.7
+	// gcPercent is the heap growth in percent that starts a garbage collection.
 	// It is below Go's default of 100, because memory costs more than processor
 	// time on the platform.
-	collectAt = 50
+	gcPercent = 50
 )
 
-// fitRuntime configures the Go runtime for the cores and memory of the VM. With
+// configureRuntime configures the Go runtime for the cores and memory of the VM. With
 // more threads than cores, an eighth of the processor time of a deployment at
 // 570 requests/s is spent on threads that wake each other up.
-func fitRuntime(s *platform.Settings) {
+func configureRuntime(s *platform.Settings) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(s.Processor)), 1))
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if s.MemoryMegabytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMegabytes<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryMegabytes<<20)))
 	}
 }
 
@@ -53,16 +53,16 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitInvalid
 	}
-	fitRuntime(s)
+	configureRuntime(s)
 	out := daemon.NewLogWriter(os.Stdout)
 	defer out.Close()
 	logger := zerolog.New(out).With().Timestamp().Str("vm", s.VM).Logger()
-	g, err := gateway.New(gatewaySettings(s, advertised), platformParts(s, &logger), logger)
+	g, err := gateway.New(gatewaySettings(s, advertised), gatewayPlatform(s, &logger), logger)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitInvalid
 	}
-	go readOnHangUp(signals.HangUp, path, s, &logger)
+	go recheckSettings(signals.HangUp, path, s, &logger)
 	if err := g.Run(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
@@ -70,18 +70,18 @@
 	return 0
 }
 
-// readOnHangUp loads the settings file again on each SIGHUP, until the process
+// recheckSettings loads the settings file again on each SIGHUP, until the process
 // ends, and logs whether it is valid and differs from the settings in force. A
 // changed file takes effect at the next start; configuration that may change at
 // runtime is in the store.
-func readOnHangUp(hangUps <-chan os.Signal, path string, inForce *platform.Settings, logger *zerolog.Logger) {
+func recheckSettings(hangUps <-chan os.Signal, path string, current *platform.Settings, logger *zerolog.Logger) {
 	for range hangUps {
-		read, err := platform.LoadSettings(path)
+		loaded, err := platform.LoadSettings(path)
 		if err != nil {
 			events.SettingsInvalid.Log(logger).Err(err).Send()
 			continue
 		}
-		events.SettingsRead.Log(logger).Bool("differs", *read != *inForce).Send()
+		events.SettingsRead.Log(logger).Bool("differs", *loaded != *current).Send()
 	}
 }
 
@@ -90,7 +90,7 @@
 	return gateway.Settings{
 		VM: s.VM, FailureDomain: s.FailureDomain,
 		Callers: s.CallersAddress, Ready: s.ReadyAddress, Peers: s.PeersAddress, Advertised: advertised, Metrics: s.MetricsAddress,
-		Deployment: deployment, Processor: s.Processor, LinkRate: s.LinkRate,
+		Deployment: platformDeployment, Processor: s.Processor, LinkRate: s.LinkRate,
 		Broker: admission.Config{
 			Budget: admission.Budget{
 				Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance, Window: s.Bounds.RetryWindow,
@@ -101,14 +101,14 @@
 	}
 }
 
-// platformParts returns the platform's implementations that the gateway uses. An
+// gatewayPlatform returns the platform's implementations that the gateway uses. An
 // object of the store that cannot be decoded is logged.
-func platformParts(s *platform.Settings, logger *zerolog.Logger) gateway.Platform {
-	unreadable := func(kind string, err error) {
+func gatewayPlatform(s *platform.Settings, logger *zerolog.Logger) gateway.Platform {
+	logInvalid := func(kind string, err error) {
 		events.DeclarationInvalid.Log(logger).Str("kind", kind).Err(err).Send()
 	}
 	return gateway.Platform{
-		Store: platform.NewStore(s.StoreAddress, unreadable), RecordName: platform.RecordName,
+		Store: platform.NewStore(s.StoreAddress, logInvalid), RecordName: platform.RecordName,
 		Names: observer.Names{
 			Config: platform.ConfigPrefix, Targets: platform.TargetsPrefix, Evacuations: platform.EvacuationsPrefix,
 			DecodeConfig: platform.DecodeConfig, DecodeTarget: platform.DecodeTarget, DecodeEvacuation: platform.DecodeEvacuation,
