--- a/cmd/chestnutctl/client.go
+++ b/cmd/chestnutctl/client.go
@@ -64,37 +64,37 @@
 		var response *http.Response
 		response, err = c.http.Do(request)
 		if err == nil {
-			return decode(response, method, result)
+			return decodeResponse(response, method, result)
 		}
-		if !notConnected(err) {
+		if !isDialError(err) {
 			break
 		}
 	}
-	return lost(err, method)
+	return noResponseError(err, method)
 }
 
-// notConnected reports whether err means that no connection was established, so
+// isDialError reports whether err means that no connection was established, so
 // the request has not been sent.
-func notConnected(err error) bool {
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// lost returns the error of a call without a response. Reads and calls that never
+// noResponseError returns the error of a call without a response. Reads and calls that never
 // connected are Unavailable; a change that was sent has an UnknownOutcome.
-func lost(cause error, method string) error {
-	if method == http.MethodGet || notConnected(cause) {
+func noResponseError(cause error, method string) error {
+	if method == http.MethodGet || isDialError(cause) {
 		return fault.Wrap(cause, fault.Unavailable, "name another VM with --server", "no server answered")
 	}
 	return fault.Wrap(cause, fault.UnknownOutcome, "repeat the command with the same --operation; it takes effect at most once", "the server did not answer the change")
 }
 
-// decode decodes a response into result, or returns the error that it holds.
-func decode(response *http.Response, method string, result any) error {
+// decodeResponse decodes a response into result, or returns the error that it holds.
+func decodeResponse(response *http.Response, method string, result any) error {
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return lost(err, method)
+		return noResponseError(err, method)
 	}
 	if response.StatusCode == http.StatusOK {
 		if err := json.Unmarshal(content, result); err != nil {
@@ -102,9 +102,9 @@
 		}
 		return nil
 	}
-	refused := &apiError{}
-	if err := json.Unmarshal(content, &refused.body); err != nil || refused.body.Kind == "" {
+	apiErr := &apiError{}
+	if err := json.Unmarshal(content, &apiErr.body); err != nil || apiErr.body.Kind == "" {
 		return fault.New(fault.UnknownOutcome, "check that --server is the address of an operators' API", "the server answered with status %d", response.StatusCode)
 	}
-	return refused
+	return apiErr
 }
--- a/cmd/chestnutctl/load_test.go
+++ b/cmd/chestnutctl/load_test.go
@@ -18,15 +18,15 @@
 	}))
 	defer entry.Close()
 	args := []string{"load", "--entry", entry.URL, "--rate", "100", "--duration", "200ms", "--path", "/{key}", "--target-header", "X-Target"}
-	code, stdout, _ := open(t).execute(args...)
+	code, stdout, _ := startServer(t).execute(args...)
 	assert.Equal(t, code, exitDone)
 	assert.Assert(t, strings.Contains(stdout, "20 requests") && strings.Contains(stdout, "p99 "), stdout)
-	code, stdout, _ = open(t).execute(append([]string{"--output", "json"}, args...)...)
+	code, stdout, _ = startServer(t).execute(append([]string{"--output", "json"}, args...)...)
 	assert.Equal(t, code, exitDone)
 	var result loadtool.Result
 	assert.NilError(t, json.Unmarshal([]byte(stdout), &result))
 	assert.Equal(t, result.Due, int64(20))
-	code, _, stderr := open(t).execute(append(args, "--rate", "0")...)
+	code, _, stderr := startServer(t).execute(append(args, "--rate", "0")...)
 	assert.Equal(t, code, exitInvalid)
 	assert.Assert(t, strings.Contains(stderr, "rate"))
 }
--- a/cmd/chestnutctl/main.go
+++ b/cmd/chestnutctl/main.go
@@ -20,21 +20,21 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// termination is the panic value that carries an exit code from the command line
+// parserExit is the panic value that carries an exit code from the command line
 // parser, which terminates the process after --help, for example, to run.
-type termination int
+type parserExit int
 
 // run executes a command line and returns the exit code. It does not exit the
 // process, so that tests can call it.
 func run(args []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
-		if ended, ok := recover().(termination); ok {
-			code = int(ended)
+		if exit, ok := recover().(parserExit); ok {
+			code = int(exit)
 		}
 	}()
 	app := kingpin.New("chestnutctl", "Operates a chestnutcourse deployment. Exit codes: 0 done, 1 failed, 2 invalid, "+
 		"3 conflict, 4 refused, 5 unavailable, 6 unknown outcome, 7 not found, 8 not in force everywhere.")
-	app.UsageWriter(stdout).ErrorWriter(stderr).Terminate(func(code int) { panic(termination(code)) })
+	app.UsageWriter(stdout).ErrorWriter(stderr).Terminate(func(code int) { panic(parserExit(code)) })
 	app.HelpFlag.Short('h')
 	s := &session{stdout: stdout, stderr: stderr}
 	s.addFlags(app)
--- a/cmd/chestnutctl/manifest.go
+++ b/cmd/chestnutctl/manifest.go
@@ -20,8 +20,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/manifest"
 )
 
-// statusPoll is the interval at which --wait polls the status.
-const statusPoll = 200 * time.Millisecond
+// statusPollInterval is the interval at which --wait polls the status.
+const statusPollInterval = 200 * time.Millisecond
 
 // notInForceError reports that a version is not in force on all VMs.
 type notInForceError struct {
@@ -31,11 +31,11 @@
 // Error names the VMs on which the version is not in force.
 func (e *notInForceError) Error() string {
 	return fmt.Sprintf("version %d is in force on %d of %d VMs; missing: %s", e.status.ManifestVersion, e.status.InForce, e.status.Total,
-		strings.Join(missing(e.status), ", "))
+		strings.Join(missingVMs(e.status), ", "))
 }
 
-// missing returns the names of the VMs on which the version is not in force.
-func missing(status distribution.Status) []string {
+// missingVMs returns the names of the VMs on which the version is not in force.
+func missingVMs(status distribution.Status) []string {
 	var names []string
 	for _, vm := range status.VMs {
 		if !vm.InForce {
@@ -138,7 +138,7 @@
 // waitInForce polls until a version is in force on all VMs. It returns a
 // notInForceError if that takes longer than wait.
 func (s *session) waitInForce(c *client, version int64, wait time.Duration) error {
-	for deadline := time.Now().Add(wait); ; time.Sleep(statusPoll) {
+	for deadline := time.Now().Add(wait); ; time.Sleep(statusPollInterval) {
 		status, err := fetchStatus(c, version)
 		if err != nil {
 			return err
--- a/cmd/chestnutctl/session.go
+++ b/cmd/chestnutctl/session.go
@@ -38,13 +38,13 @@
 
 // session holds the output streams and the flags that all commands share.
 type session struct {
-	stdout, stderr io.Writer
-	servers        []string
-	output         string
-	timeout        time.Duration
-	authorityFile  string
-	certificate    string
-	key            string
+	stdout, stderr  io.Writer
+	servers         []string
+	output          string
+	timeout         time.Duration
+	authorityFile   string
+	certificateFile string
+	keyFile         string
 }
 
 // addFlags adds the flags that all commands share.
@@ -54,8 +54,8 @@
 	app.Flag("output", "Output format: text or json.").Short('o').Default(outputText).EnumVar(&s.output, outputText, outputJSON)
 	app.Flag("timeout", "Timeout of one call.").Default("15s").DurationVar(&s.timeout)
 	app.Flag("tls-authority", "PEM file with the authority that signs the servers' certificates.").StringVar(&s.authorityFile)
-	app.Flag("tls-certificate", "PEM file with the client certificate.").StringVar(&s.certificate)
-	app.Flag("tls-key", "PEM file with the key of the client certificate.").StringVar(&s.key)
+	app.Flag("tls-certificate", "PEM file with the client certificate.").StringVar(&s.certificateFile)
+	app.Flag("tls-key", "PEM file with the key of the client certificate.").StringVar(&s.keyFile)
 }
 
 // client returns a client of the operators' API.
@@ -71,7 +71,7 @@
 // tlsConfig returns the TLS configuration that the flags describe, nil if they
 // name no file.
 func (s *session) tlsConfig() (*tls.Config, error) {
-	if s.authorityFile == "" && s.certificate == "" {
+	if s.authorityFile == "" && s.certificateFile == "" {
 		return nil, nil
 	}
 	config := &tls.Config{MinVersion: tls.VersionTLS13}
@@ -82,8 +82,8 @@
 			return nil, fault.Wrap(err, fault.Invalid, "name a PEM file with --tls-authority", "the authority %q cannot be read", s.authorityFile)
 		}
 	}
-	if s.certificate != "" {
-		pair, err := tls.LoadX509KeyPair(s.certificate, s.key)
+	if s.certificateFile != "" {
+		pair, err := tls.LoadX509KeyPair(s.certificateFile, s.keyFile)
 		if err != nil {
 			return nil, fault.Wrap(err, fault.Invalid, "name PEM files with --tls-certificate and --tls-key", "the certificate cannot be read")
 		}
@@ -108,33 +108,33 @@
 // fail prints an error and returns its exit code. Errors of no known kind are
 // those of the command line.
 func (s *session) fail(err error) int {
-	var refused *apiError
-	var typed *fault.Error
+	var apiErr *apiError
+	var faultErr *fault.Error
 	var notInForce *notInForceError
 	switch {
-	case errors.As(err, &refused):
-		s.printRefusal(refused)
-		return exitCode(refused.body.Kind)
+	case errors.As(err, &apiErr):
+		s.printAPIError(apiErr)
+		return exitCode(apiErr.body.Kind)
 	case errors.As(err, &notInForce):
 		fmt.Fprintln(s.stderr, "chestnutctl: "+notInForce.Error())
 		return exitNotInForce
-	case errors.As(err, &typed):
+	case errors.As(err, &faultErr):
 		fmt.Fprintln(s.stderr, "chestnutctl: "+err.Error())
-		return exitCode(typed.Kind)
+		return exitCode(faultErr.Kind)
 	}
 	return usageError(s.stderr, err)
 }
 
-// printRefusal prints an error response of the server with its problems.
-func (s *session) printRefusal(refused *apiError) {
+// printAPIError prints an error response of the server with its problems.
+func (s *session) printAPIError(apiErr *apiError) {
 	if s.output == outputJSON {
 		encoder := json.NewEncoder(s.stderr)
 		encoder.SetIndent("", "  ")
-		_ = encoder.Encode(refused.body)
+		_ = encoder.Encode(apiErr.body)
 		return
 	}
-	fmt.Fprintln(s.stderr, "chestnutctl: "+refused.Error())
-	for _, problem := range refused.body.Problems {
+	fmt.Fprintln(s.stderr, "chestnutctl: "+apiErr.Error())
+	for _, problem := range apiErr.body.Problems {
 		fmt.Fprintln(s.stderr, "  "+problem.String())
 	}
 }
