--- a/cmd/chestnutcoursed/platform.go
+++ b/cmd/chestnutcoursed/platform.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// platformDeployment is the platformDeployment name in sessions between VMs. On the platform
-	// it can be constant: VMs discover each other in the platform's store, which
-	// belongs to one platformDeployment.
+	// platformDeployment is the name of the deployment in sessions between VMs.
+	// It can be constant: VMs discover each other in the platform's store, which
+	// belongs to one deployment.
 	platformDeployment = "platform"
-	// memoryLimitShare is the share of the VM's memory that is set as the runtime's
-	// soft limit; close to it the runtime collects garbage more often.
+	// memoryLimitShare is the share of the VM's memory that is the runtime's soft
+	// limit; close to it the runtime collects garbage more often.
 	memoryLimitShare = 0.7
 	// gcPercent is the heap growth in percent that starts a garbage collection.
 	// It is below Go's default of 100, because memory costs more than processor
@@ -33,8 +33,8 @@
 	gcPercent = 50
 )
 
-// configureRuntime configures the Go runtime for the cores and memory of the VM. With
-// more threads than cores, an eighth of the processor time of a deployment at
+// configureRuntime configures the Go runtime for the cores and memory of the VM.
+// With more threads than cores, an eighth of the processor time of a deployment at
 // 570 requests/s is spent on threads that wake each other up.
 func configureRuntime(s *platform.Settings) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(s.Processor)), 1))
--- a/cmd/chestnutctl/client.go
+++ b/cmd/chestnutctl/client.go
@@ -80,8 +80,9 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// noResponseError returns the error of a call without a response. Reads and calls that never
-// connected are Unavailable; a change that was sent has an UnknownOutcome.
+// noResponseError returns the error of a call without a complete response. It is
+// Unavailable for reads and for changes that were not sent, because no connection
+// was established, and UnknownOutcome for other changes.
 func noResponseError(cause error, method string) error {
 	if method == http.MethodGet || isDialError(cause) {
 		return fault.Wrap(cause, fault.Unavailable, "name another VM with --server", "no server answered")
@@ -89,7 +90,8 @@
 	return fault.Wrap(cause, fault.UnknownOutcome, "repeat the command with the same --operation; it takes effect at most once", "the server did not answer the change")
 }
 
-// decodeResponse decodes a response into result, or returns the error that it holds.
+// decodeResponse decodes a response into result, or returns the error that it
+// holds.
 func decodeResponse(response *http.Response, method string, result any) error {
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
--- a/cmd/chestnutctl/main.go
+++ b/cmd/chestnutctl/main.go
@@ -20,8 +20,8 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// parserExit is the panic value that carries an exit code from the command line
-// parser, which terminates the process after --help, for example, to run.
+// parserExit is the panic value by which the command line parser ends run with an
+// exit code, e.g. after --help.
 type parserExit int
 
 // run executes a command line and returns the exit code. It does not exit the
--- a/cmd/chestnutctl/main_test.go
+++ b/cmd/chestnutctl/main_test.go
@@ -57,8 +57,8 @@
 	return s
 }
 
-// setResponse sets the response to a method and path; status 0 closes the connection
-// without a response.
+// setResponse sets the response to a method and path; status 0 closes the
+// connection without a response.
 func (s *fakeServer) setResponse(path string, status int, body any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -53,8 +53,8 @@
 	callers      *entry.Server
 	operators    *operatorsServer
 
-	// partnerCells are the cells in which this VM is a partner of a target. It is
-	// accessed only on the loop.
+	// partnerCells are the cells in which this VM is a partner of a target. They
+	// are accessed only on the loop.
 	partnerCells []string
 	// rights is the table of dispatch rights that the dispatcher consults for
 	// each request.
--- a/internal/process/daemon/report.go
+++ b/internal/process/daemon/report.go
@@ -10,7 +10,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/routing"
 )
 
-// ownershipProgress gives the reporter access to the state of the ownership protocol.
+// ownershipProgress gives the reporter access to the state of the ownership
+// protocol.
 type ownershipProgress struct{ d *Daemon }
 
 // Progress implements reporter.Ownership.
--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// loadBalancerDelay is how long the entry keeps serving new callers after the VM
-	// reports not ready: the platform's load balancer sends them until its next
-	// health check.
+	// loadBalancerDelay is how long the entry keeps serving new callers after the
+	// VM reports not ready: the platform's load balancer sends them until its
+	// next health check.
 	loadBalancerDelay = time.Second
 	// handoverTimeout bounds the wait for the controller to assign other
 	// dispatchers. After it, the backups in the record take over.
@@ -49,7 +49,7 @@
 }
 
 // awaitHandover waits until other VMs have taken over all dispatch rights of this
-// VM, at most handoverWait.
+// VM, at most handoverTimeout.
 func (d *Daemon) awaitHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
