--- a/internal/process/signals/early_cgo.go
+++ b/internal/process/signals/early_cgo.go
@@ -7,8 +7,8 @@
 
 static void (*inherited)(int);
 
-// Runs once the program is loaded, before the Go runtime starts, which leaves an
-// ignored SIGHUP alone until the program asks for it.
+// Runs when the program is loaded, before the Go runtime starts. The runtime leaves an
+// ignored SIGHUP ignored until the program subscribes to it.
 __attribute__((constructor)) static void ignoreHangUp(void) {
 	inherited = signal(SIGHUP, SIG_IGN);
 }
@@ -17,5 +17,5 @@
 */
 import "C"
 
-// restoreHangUp gives SIGHUP the action that it had at the start of the process.
+// restoreHangUp restores the action that SIGHUP had at the start of the process.
 func restoreHangUp() { C.restoreHangUp() }
--- a/internal/process/signals/early_nocgo.go
+++ b/internal/process/signals/early_nocgo.go
@@ -2,5 +2,5 @@
 
 package signals
 
-// restoreHangUp has nothing to restore: nothing was changed before the runtime's start.
+// restoreHangUp does nothing: without cgo, SIGHUP is not changed before the Go runtime starts.
 func restoreHangUp() {}
--- a/internal/process/signals/signals.go
+++ b/internal/process/signals/signals.go
@@ -1,11 +1,11 @@
-// Package signals takes the signals of the daemon as early as a Go program can.
+// Package signals subscribes to the daemon's signals as early as a Go program can.
 //
-// Until a program asks for a signal the runtime lets SIGHUP and SIGTERM end the
-// process. Asking for them in main is late: the packages that the daemon imports
-// initialise themselves before it, which takes most of the start. Packages are
-// initialised in the order of their import paths once those that they import are, so
-// this one, which imports little, is among the first; it must stay so. Where the program
-// is linked against the C library, SIGHUP is ignored until then.
+// Until a program subscribes to SIGHUP and SIGTERM, the Go runtime lets them end the
+// process. Subscribing in main is too late: the packages that the daemon imports are
+// initialised before main, and that takes most of the start-up time. A package is
+// initialised once its imports are, and among those that are ready the order is that of
+// the import paths. This package must therefore import little, so that it is among the
+// first. In a build with cgo, SIGHUP is also ignored until this package is initialised.
 package signals
 
 import (
@@ -21,16 +21,17 @@
 	HangUp = take(syscall.SIGHUP)
 )
 
-// take returns a channel with room for one signal: a second of its kind that comes
-// before the first was read says nothing new.
+// take subscribes to signals. The channel holds one signal: another one that arrives
+// before the first was read adds no information.
 func take(which ...os.Signal) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, which...)
 	return signals
 }
 
-// HangUpEnds lets SIGHUP end the process, also one that was taken before, unless it
-// was started to ignore it.
+// HangUpEnds restores the action that SIGHUP had at the start of the process: it ends
+// the process unless it was ignored then. A SIGHUP that is still unread in HangUp is
+// sent again, so that it has this effect too.
 func HangUpEnds() {
 	signal.Reset(syscall.SIGHUP)
 	restoreHangUp()
