--- a/internal/process/events/events.go
+++ b/internal/process/events/events.go
@@ -1,6 +1,6 @@
 // Package events numbers everything that the daemon logs, so that operators can
-// search, count and alert by number. docs/EVENTS.md is the catalogue; a test
-// keeps the two in step.
+// search, count and alert by number. docs/EVENTS.md lists the same events; a test
+// keeps it in step with the code.
 //
 // Numbers are never reused. Each area has a range and a file of its own:
 // 1000 process, 2000 routing, 3000 dispatch, 4000 ownership, 5000 placement,
@@ -16,7 +16,7 @@
 // Event is one kind of log line.
 type Event struct {
 	Number int
-	// Name is the stable short name, e.g. "request-routed".
+	// Name is the short name, which never changes, e.g. "request-routed".
 	Name string
 	// Level is the level at which the event is logged.
 	Level zerolog.Level
@@ -24,11 +24,11 @@
 	Meaning string
 }
 
-// catalogue holds every event by number.
+// catalogue maps numbers to all events.
 var catalogue = map[int]Event{}
 
-// register adds an event to the catalogue. Two events with one number are a
-// programming error.
+// register adds an event to the catalogue. It panics if the number is in use already,
+// which is a programming error.
 func register(number int, name string, level zerolog.Level, meaning string) Event {
 	if _, taken := catalogue[number]; taken {
 		panic("events: number used twice: " + name)
@@ -48,7 +48,7 @@
 	return all
 }
 
-// Log begins the log line of the event; the caller adds fields and calls Send.
+// Log starts the log line of the event; the caller adds fields and calls Send.
 func (e Event) Log(logger *zerolog.Logger) *zerolog.Event {
 	return logger.WithLevel(e.Level).Int("event", e.Number).Str("name", e.Name)
 }
--- a/internal/process/events/events_test.go
+++ b/internal/process/events/events_test.go
@@ -44,7 +44,7 @@
 	return page.String()
 }
 
-// TestEveryEventIsLogged finds events that no code writes.
+// TestEveryEventIsLogged finds events that no code logs.
 func TestEveryEventIsLogged(t *testing.T) {
 	used := usedEvents(t)
 	for _, name := range declaredEvents(t) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// declaredEvents returns the names of the variables set by register.
+// declaredEvents returns the names of the variables that register initialises.
 func declaredEvents(t *testing.T) []string {
 	var names []string
 	eachGoFile(t, ".", func(file *ast.File) {
@@ -74,7 +74,7 @@
 	return names
 }
 
-// usedEvents returns the names selected from package events anywhere else.
+// usedEvents returns the names of package events that other packages use.
 func usedEvents(t *testing.T) map[string]bool {
 	used := map[string]bool{}
 	eachGoFile(t, repositoryRoot, func(file *ast.File) {
@@ -92,7 +92,7 @@
 	return used
 }
 
-// eachGoFile parses the Go files below a folder, without tests.
+// eachGoFile calls visit with each Go file below root except tests.
 func eachGoFile(t *testing.T, root string, visit func(*ast.File)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
--- a/internal/process/events/process.go
+++ b/internal/process/events/process.go
@@ -5,9 +5,9 @@
 // Events of the process itself.
 var (
 	DaemonStarted   = register(1001, "daemon-started", zerolog.InfoLevel, "The daemon has read its settings and opened its listeners.")
-	DaemonStopping  = register(1002, "daemon-stopping", zerolog.InfoLevel, "A graceful stop has begun; the VM takes no new work.")
+	DaemonStopping  = register(1002, "daemon-stopping", zerolog.InfoLevel, "A graceful stop has begun; the VM accepts no new work.")
 	DaemonStopped   = register(1003, "daemon-stopped", zerolog.InfoLevel, "The last request in flight has ended and the daemon exits.")
-	LogLinesDropped = register(1004, "log-lines-dropped", zerolog.WarnLevel, "The log's output did not take lines fast enough; so many were dropped since the last line of this kind.")
-	SettingsRead    = register(1005, "settings-read", zerolog.InfoLevel, "The settings file was read again on SIGHUP; what differs counts from the next start.")
-	SettingsInvalid = register(1006, "settings-invalid", zerolog.WarnLevel, "The settings file cannot be used as it is now; the daemon goes on, but would not start again.")
+	LogLinesDropped = register(1004, "log-lines-dropped", zerolog.WarnLevel, "The log output could not keep up; count is the number of lines dropped since the last event of this kind.")
+	SettingsRead    = register(1005, "settings-read", zerolog.InfoLevel, "The settings file was read again on SIGHUP; changed values take effect at the next start.")
+	SettingsInvalid = register(1006, "settings-invalid", zerolog.WarnLevel, "The settings file is invalid as it is now; the daemon keeps running but could not be started again.")
 )
