--- a/internal/process/signals/signals.go
+++ b/internal/process/signals/signals.go
@@ -16,14 +16,14 @@
 
 var (
 	// Stop receives SIGTERM and SIGINT.
-	Stop = take(syscall.SIGTERM, os.Interrupt)
+	Stop = subscribe(syscall.SIGTERM, os.Interrupt)
 	// HangUp receives SIGHUP.
-	HangUp = take(syscall.SIGHUP)
+	HangUp = subscribe(syscall.SIGHUP)
 )
 
-// take subscribes to signals. The channel holds one signal: another one that arrives
+// subscribe subscribes to signals. The channel holds one signal: another one that arrives
 // before the first was read adds no information.
-func take(which ...os.Signal) <-chan os.Signal {
+func subscribe(which ...os.Signal) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, which...)
 	return signals
