--- a/cmd/chestnutcoursed/main.go
+++ b/cmd/chestnutcoursed/main.go
@@ -44,7 +44,7 @@
 	}()
 	command := kingpin.MustParse(app.Parse(os.Args[1:]))
 	if command != serve.FullCommand() {
-		signals.HangUpEnds()
+		signals.ResetHangUp()
 	}
 	switch command {
 	case run.FullCommand():
--- a/internal/process/signals/signals.go
+++ b/internal/process/signals/signals.go
@@ -29,10 +29,10 @@
 	return signals
 }
 
-// HangUpEnds restores the action that SIGHUP had at the start of the process: it ends
+// ResetHangUp restores the action that SIGHUP had at the start of the process: it ends
 // the process unless it was ignored then. A SIGHUP that is still unread in HangUp is
 // sent again, so that it has this effect too.
-func HangUpEnds() {
+func ResetHangUp() {
 	signal.Reset(syscall.SIGHUP)
 	restoreHangUp()
 	select {
