--- a/cmd/chestnutcoursed/platform.go
+++ b/cmd/chestnutcoursed/platform.go
@@ -97,7 +97,7 @@
 			},
 			ColdFactor: s.Bounds.ColdFactor,
 		},
-		LongestHold: s.Bounds.LongestGrant, StopWithin: s.Bounds.Stop,
+		LongestHold: s.Bounds.LongestGrant, StopWithin: s.Bounds.StopTimeout,
 	}
 }
 
