--- a/internal/process/coordinator/fences.go
+++ b/internal/process/coordinator/fences.go
@@ -65,10 +65,10 @@
 	return true
 }
 
-// provesNewerLeader reports whether a target that refuses a grant for its low fence proves
+// provesLaterLeader reports whether a target that refuses a grant for its low fence proves
 // that there is a newer leader. It does if the grant had the slice's current fence, since
 // this leader has assigned no higher one to these keys.
-func (lt *leaseTable) provesNewerLeader(t task) bool {
+func (lt *leaseTable) provesLaterLeader(t task) bool {
 	s := lt.findSlice(t.order)
 	return s != nil && s.Last == t.slice.Last && s.Owner == t.target && len(s.FormerOwners) == 0
 }
--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -31,10 +31,10 @@
 	// a request counts. Requests that were sent before the slice was ready may arrive
 	// until then.
 	minReadyTime = 500 * time.Millisecond
-	// maxConfirmationReports is the maximum age, in report intervals, of a confirmation of
+	// maxConfirmationIntervals is the maximum age, in report intervals, of a confirmation of
 	// the leader for a replacement fence to be sent. Without the store, the leader is
 	// confirmed by the reports of VMs, which are usually up to this old.
-	maxConfirmationReports = 2
+	maxConfirmationIntervals = 2
 	// declarationWait is how long a new leader waits for the declarations, that is the
 	// configuration and the targets in the store, before it takes keys from targets that
 	// are not declared.
@@ -78,7 +78,7 @@
 // leader has moved keys in the meantime.
 func (c *Coordinator) recentlyConfirmedAt() time.Duration {
 	at := c.leadershipConfirmedAt()
-	if c.config.Uptime()-at > maxConfirmationReports*c.reportInterval() {
+	if c.config.Uptime()-at > maxConfirmationIntervals*c.reportInterval() {
 		return 0
 	}
 	return at
@@ -291,7 +291,7 @@
 	case fault.Is(err, fault.Conflict):
 		lt.orderFailed(t, now)
 		refused := !errors.Is(err, target.ErrProcessUnknown)
-		if refused && lt.provesNewerLeader(t) {
+		if refused && lt.provesLaterLeader(t) {
 			c.lead.noteLaterLeader(c.config.Uptime())
 		}
 		newFence = lt.handleConflict(t, refused, now, c.config.Uptime())
