--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -35,8 +35,8 @@
 	// awaitsTargets is set while the VM needs the whole list of targets and the link is
 	// busy with the lists of others. wholeListSentAt is when the whole list was sent; zero
 	// once the VM has reported it.
-	awaitsTargets   bool
-	wholeListSentAt time.Time
+	awaitsTargets  bool
+	fullListSentAt time.Time
 }
 
 // schedulePush schedules a push of changes after at most the given pause, so that
@@ -133,7 +133,7 @@
 		m.deliveries.members.markSent(state.Members.Base == 0, now)
 	}
 	// A VM cannot use the owners of keys before it has the targets.
-	if p.slices.digest != 0 && m.sentVersions.Slices != p.slices.digest && !m.awaitsTargets && m.wholeListSentAt.IsZero() {
+	if p.slices.digest != 0 && m.sentVersions.Slices != p.slices.digest && !m.awaitsTargets && m.fullListSentAt.IsZero() {
 		state.Slices = p.slices.since(m.sentVersions.Slices, now)
 		m.sentVersions.Slices, m.detailsSentAt = p.slices.digest, now
 		m.deliveries.slices.markSent(state.Slices.Base == 0, now)
@@ -147,21 +147,21 @@
 func (c *Coordinator) reserveListTurn(m *member, size int, now time.Time) bool {
 	bytesInFlight := 0
 	for _, other := range c.lead.members {
-		if other != m && now.Sub(other.wholeListSentAt) < listLostAfter {
+		if other != m && now.Sub(other.fullListSentAt) < listLostAfter {
 			bytesInFlight += size
 		}
 	}
 	if c.config.LinkRate > 0 && bytesInFlight > 0 && float64(bytesInFlight+size) > c.config.LinkRate*listLinkTime.Seconds() {
 		return false
 	}
-	m.wholeListSentAt = now
+	m.fullListSentAt = now
 	return true
 }
 
 // targetsDelivered records that a VM has reported the list of targets, and sends the list
 // to another VM that waits for it.
 func (c *Coordinator) targetsDelivered(m *member, now time.Time) {
-	m.wholeListSentAt, m.detailsSentAt = time.Time{}, time.Time{}
+	m.fullListSentAt, m.detailsSentAt = time.Time{}, time.Time{}
 	for _, next := range c.lead.members {
 		if next.awaitsTargets {
 			c.push(next, now)
@@ -203,7 +203,7 @@
 		m.followConfirmedAt = max(m.followConfirmedAt, time.Duration(report.HeardMillis)*time.Millisecond)
 	}
 	m.updateDeliveries(report.Have, c.reportInterval(), now)
-	if !m.wholeListSentAt.IsZero() && l.parts.targets.has(report.Have.GetTargets()) {
+	if !m.fullListSentAt.IsZero() && l.parts.targets.has(report.Have.GetTargets()) {
 		c.targetsDelivered(m, now)
 	}
 	c.push(m, now)
