--- a/internal/process/coordinator/coordinator_test.go
+++ b/internal/process/coordinator/coordinator_test.go
@@ -143,12 +143,12 @@
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
 		time.Sleep(4 * time.Second)
-		w.withLock(func() { w.listDelay, w.wholeLists = 600*time.Millisecond, 0 })
+		w.withLock(func() { w.listDelay, w.fullLists = 600*time.Millisecond, 0 })
 		name, _ := w.leader()
 		w.killNode(name)
 		fewest := w.fewestTargets(4 * time.Second)
 		w.check(fewest == 6, "a VM knew %d of 6 targets", fewest)
-		w.withLock(func() { w.check(w.wholeLists == 0, "%d lists were sent as a whole", w.wholeLists) })
+		w.withLock(func() { w.check(w.fullLists == 0, "%d lists were sent as a whole", w.fullLists) })
 	})
 }
 
--- a/internal/process/coordinator/world_test.go
+++ b/internal/process/coordinator/world_test.go
@@ -68,9 +68,9 @@
 	// dropTargets is the number of messages with targets to drop from now on, as if
 	// their session were lost.
 	dropTargets int
-	// wholeLists counts the lists of targets, slices and members that were sent whole
+	// fullLists counts the lists of targets, slices and members that were sent whole
 	// instead of as a diff.
-	wholeLists int
+	fullLists int
 	// calls is the last number given to a call, message or incarnation; pendingCalls
 	// are the calls without a reply, by number.
 	calls        uint64
@@ -362,7 +362,7 @@
 	receiver := w.nodes[to]
 	for _, list := range []*peerv1.Part{message.GetFleetState().GetTargets(), message.GetFleetState().GetSlices(), message.GetFleetState().GetMembers()} {
 		if list != nil && list.Base == 0 {
-			w.wholeLists++
+			w.fullLists++
 		}
 	}
 	w.mu.Unlock()
