--- a/internal/process/coordinator/coordinator.go
+++ b/internal/process/coordinator/coordinator.go
@@ -6,9 +6,9 @@
 // conditional writes, which also carry the owners of all keys. A move is written
 // to the record before it begins, so that no leader undoes a move of another. A
 // leader renews grants only while its leadership is confirmed. Targets check
-// fences, which rise with every move, and no fence reaches two processes.
+// fences, which rise with every move, and no fence is accepted by two processes.
 //
-// All state belongs to the loop; only blocking calls run outside it.
+// All state belongs to the goroutine of Config.Loop; only blocking calls run outside it.
 package coordinator
 
 import (
--- a/internal/process/coordinator/coordinator_test.go
+++ b/internal/process/coordinator/coordinator_test.go
@@ -50,7 +50,7 @@
 }
 
 // longestGap watches the keys for a time and returns the longest time for which
-// one of them was held by nobody.
+// no target held one of them.
 func (w *world) longestGap(watch time.Duration) time.Duration {
 	var since [checkedKeys]time.Time
 	longest := time.Duration(0)
@@ -117,7 +117,7 @@
 }
 
 // fewestTargets watches the nodes' views for a time and returns the lowest number of
-// targets that was in one of them.
+// targets in any of them.
 func (w *world) fewestTargets(watch time.Duration) int {
 	fewest := w.fewestKnown()
 	for began := time.Now(); time.Since(began) < watch; time.Sleep(10 * time.Millisecond) {
@@ -138,7 +138,7 @@
 }
 
 // TestNextLeaderRepeatsNothing: while the next leader reads the declarations, VMs keep
-// the targets that they know. They are sent no list again that they have.
+// the targets that they know. No list that they already have is sent to them again.
 func TestNextLeaderRepeatsNothing(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -303,8 +303,8 @@
 	})
 }
 
-// TestManyVMsStartAtOnce: sending the whole lists to a hundred VMs takes the leader's
-// link seconds. Heartbeats must not queue behind them: the leader stays the same, and
+// TestManyVMsStartAtOnce: sending the full lists to a hundred VMs occupies the leader's
+// link for seconds. Heartbeats must not queue behind them: the leader stays the same, and
 // all VMs get the targets.
 func TestManyVMsStartAtOnce(t *testing.T) {
 	const vms, targets = 100, 3000
@@ -328,8 +328,8 @@
 	})
 }
 
-// TestTargetStartsAgainUnderItsName: after a target's restart its former life holds no
-// keys, and the new one gets keys with higher fences.
+// TestTargetStartsAgainUnderItsName: after a target's restart its former incarnation holds
+// no keys, and the new one gets keys with higher fences.
 func TestTargetStartsAgainUnderItsName(t *testing.T) {
 	run(t, seed.Value, 3, 5, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -392,7 +392,7 @@
 }
 
 // TestNextLifeThatTookAGrantDuringTheProbeKeepsIt: a target restarts, and is granted
-// keys, while other VMs probe whether its former life has ended.
+// keys, while other VMs probe whether its former incarnation has ended.
 func TestNextLifeThatTookAGrantDuringTheProbeKeepsIt(t *testing.T) {
 	for silentFor := 50 * time.Millisecond; silentFor < time.Second; silentFor += 50 * time.Millisecond {
 		t.Run(silentFor.String(), func(t *testing.T) {
@@ -503,7 +503,7 @@
 
 // TestLeaderWithoutTheStoreIsNotTakenForGone: one VM is partitioned off from the others
 // and is the only one to reach the store. When it takes over, it must not grant the keys
-// of a target whose grants the former leader still renews to another.
+// of a target to another while the former leader still renews that target's grants.
 func TestLeaderWithoutTheStoreIsNotTakenForGone(t *testing.T) {
 	run(t, seed.Value, 4, 5, func(w *world) {
 		w.servedWithin(2 * time.Second)
@@ -761,7 +761,7 @@
 }
 
 // restoreRegistration restores the registration of a target that was draining or removed,
-// in the same life.
+// in the same incarnation.
 func (w *world) restoreRegistration(id string) {
 	w.mu.Lock()
 	target := w.targets[id].Target
@@ -843,7 +843,7 @@
 }
 
 // TestDomainCutOff: a failure domain with VMs and targets is partitioned off, while all
-// VMs reach the store. No VM takes a process on the other side for ended, so no key gets
+// VMs reach the store. No VM regards a process on the other side as ended, so no key gets
 // two owners, and the side with fewer VMs does not take over.
 func TestDomainCutOff(t *testing.T) {
 	const nodes, targets = 12, 9
--- a/internal/process/coordinator/delivery.go
+++ b/internal/process/coordinator/delivery.go
@@ -21,7 +21,7 @@
 type deliveries struct{ config, targets, slices, members delivery }
 
 // delivery tracks which version of a part a VM has. Messages may be lost together with
-// their session, and a difference cannot be applied by a VM that has dropped its base.
+// their session, and a diff cannot be applied by a VM that has dropped its base.
 type delivery struct {
 	// pendingSince is when the first of the versions in flight was sent, or when the VM last
 	// reported progress if that was later; zero if nothing is in flight.
@@ -32,7 +32,8 @@
 	reported uint64
 }
 
-// markSent records that a version is sent. full is set if it is not just a change.
+// markSent records that a version is sent. full is set for a full list or a first
+// configuration.
 func (d *delivery) markSent(full bool, now time.Time) {
 	if d.pendingSince.IsZero() {
 		d.pendingSince, d.full = now, false
@@ -41,8 +42,9 @@
 }
 
 // update records the version that a VM has. sent is the version that was last sent to it.
-// It is set to the VM's version if nothing is in flight or what was is lost, so that the
-// missing changes are sent again. A change counts as lost after changeLost.
+// It is set to the VM's version if nothing is in flight, or if what was in flight counts as
+// lost, so that the missing changes are sent again. A change counts as lost after changeLost
+// without progress, a full list after listLostAfter.
 func (d *delivery) update(sent *uint64, have uint64, changeLost time.Duration, now time.Time) {
 	advanced := have != d.reported
 	d.reported = have
--- a/internal/process/coordinator/election.go
+++ b/internal/process/coordinator/election.go
@@ -23,8 +23,8 @@
 	// leader that had lost the store too should reach it again: the timeout of a
 	// write that hangs, and the pause after it.
 	storeReturnGrace = 2 * time.Second
-	// keepLeaderDivisor is n in "1/n": a leader stays if at least one in n of the VMs
-	// that answer receives its heartbeats.
+	// keepLeaderDivisor limits takeovers: a leader stays if at least one in
+	// keepLeaderDivisor of the VMs that answer receives its heartbeats.
 	keepLeaderDivisor = 3
 	// rankStep is the delay between VMs of successive ranks that check the record,
 	// so that one has taken over before the next reads the store. lowRankStep is the
--- a/internal/process/coordinator/fences.go
+++ b/internal/process/coordinator/fences.go
@@ -65,8 +65,8 @@
 	return true
 }
 
-// provesLaterLeader reports whether a target that refuses a grant for its low fence proves
-// that there is a newer leader. It does if the grant had the slice's current fence, since
+// provesLaterLeader reports whether a target that refuses a grant because its fence is too low proves
+// that there is a later leader. It does if the grant had the slice's current fence, since
 // this leader has assigned no higher one to these keys.
 func (lt *leaseTable) provesLaterLeader(t task) bool {
 	s := lt.findSlice(t.order)
--- a/internal/process/coordinator/former_test.go
+++ b/internal/process/coordinator/former_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// awaitRelease waits until a target holds none of the sampled keys.
+// awaitRelease waits until a target holds none of the checked keys.
 func (w *world) awaitRelease(id string, within time.Duration) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if !w.holdsAny(id) {
@@ -89,7 +89,8 @@
 }
 
 // TestReportsThatWereHeldUpConfirmNobody: a leader that was cut off has been replaced, and then
-// receives delayed reports that other VMs sent while they followed it.
+// receives delayed reports that other VMs sent while they followed it. These must not
+// confirm it as the leader.
 func TestReportsThatWereHeldUpConfirmNobody(t *testing.T) {
 	for i := range uint64(6) {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -137,7 +138,7 @@
 }
 
 // TestLateAnswerOfTheStoreConfirmsNobody: the store's answer that the record still names the
-// leader arrives only after the leader has been replaced.
+// leader arrives only after the leader has been replaced. It must not confirm the leader.
 func TestLateAnswerOfTheStoreConfirmsNobody(t *testing.T) {
 	for after := time.Duration(0); after < 2*time.Second; after += 100 * time.Millisecond {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
@@ -210,7 +211,7 @@
 
 // TestRefusedRenewalShowsAnotherLeader: a leader without the store that most VMs follow
 // learns from a refused renewal that another leader assigns higher fences. Then a target
-// restarts.
+// restarts. The former leader must not grant it keys with lower fences.
 func TestRefusedRenewalShowsAnotherLeader(t *testing.T) {
 	for i := range uint64(8) {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -242,7 +243,7 @@
 
 // TestLeadersWithoutACommonTarget: during a partition, one leader reaches the store and the
 // targets of its failure domain, the other most VMs and the other targets, whose
-// registrations expire.
+// registrations expire. No key may get two owners.
 func TestLeadersWithoutACommonTarget(t *testing.T) {
 	run(t, seed.Value, 5, 6, func(w *world) {
 		w.servedWithin(2 * time.Second)
--- a/internal/process/coordinator/keys.go
+++ b/internal/process/coordinator/keys.go
@@ -31,9 +31,10 @@
 	// a request counts. Requests that were sent before the slice was ready may arrive
 	// until then.
 	minReadyTime = 500 * time.Millisecond
-	// maxConfirmationIntervals is the maximum age, in report intervals, of a confirmation of
-	// the leader for a replacement fence to be sent. Without the store, the leader is
-	// confirmed by the reports of VMs, which are usually up to this old.
+	// maxConfirmationIntervals is the maximum age of the leader's last confirmation, in
+	// report intervals, at which the leader still sends a new fence to the same owner.
+	// Without the store, the leader is confirmed by the reports of VMs, which are usually
+	// up to this old.
 	maxConfirmationIntervals = 2
 	// declarationWait is how long a new leader waits for the declarations, that is the
 	// configuration and the targets in the store, before it takes keys from targets that
--- a/internal/process/coordinator/leader.go
+++ b/internal/process/coordinator/leader.go
@@ -59,16 +59,17 @@
 	membersAtConfirmation int
 	// renewRecordAt is when the record is to be written again, even if unchanged.
 	renewRecordAt time.Time
-	// tickedAt is the uptime of the last tick; stalledAt is that of the last tick after
-	// a stall, or 0.
+	// tickedAt is the uptime of the last tick; stalledAt is that of the first tick after
+	// the last stall, 0 if there was none.
 	tickedAt, stalledAt time.Duration
 	// laterLeaderSeenAt is the uptime at which a target last refused a grant with a higher
 	// fence, which a later leader must have issued; 0 if never.
 	laterLeaderSeenAt time.Duration
 	// leadingSince is when the leadership began.
 	leadingSince time.Time
-	// soleLeader is set once a majority follows this leader or the former leader has
-	// ended: no former leader can act for longer than leaderLease after that.
+	// soleLeader is set once a majority follows this leader, there are no other VMs, or
+	// the former leader has ended: no former leader can act for longer than leaderLease
+	// after that.
 	soleLeader bool
 
 	// repeats are the retry-budget counters of this VM's broker as of repeatsAt.
@@ -97,8 +98,8 @@
 	writing bool
 	// writes is the number of writes of the record, including failed ones.
 	writes uint64
-	// planAt is when moves of keys are planned next; tidyAt is when adjacent slices
-	// are merged next.
+	// planAt is when moves of keys are planned next; tidyAt is when slices with
+	// little load are joined next.
 	planAt, tidyAt time.Time
 }
 
--- a/internal/process/coordinator/leasetable.go
+++ b/internal/process/coordinator/leasetable.go
@@ -16,7 +16,7 @@
 	// renewInterval is the interval between renewals of a grant: a quarter of the time
 	// that the grant lasts.
 	renewInterval = 750 * time.Millisecond
-	// maxParallelRenewals is the number of orders in flight to a target from which on its
+	// maxParallelRenewals is the number of orders in flight to a target at which further
 	// renewals wait, so that they share two connections. A renewal that is overdue by
 	// maxRenewalDelay does not wait.
 	maxParallelRenewals = 2
@@ -300,7 +300,8 @@
 }
 
 // dueTasks returns the orders to send now, and records them as in flight. confirmedUptime
-// is when this VM was last confirmed as the leader.
+// is the uptime at which this VM was last confirmed as the leader, or 0 if that is too long
+// ago to send a new fence that needs a confirmation.
 func (lt *leaseTable) dueTasks(now time.Time, confirmedUptime time.Duration) []task {
 	var tasks []task
 	for service, list := range lt.slices {
--- a/internal/process/coordinator/listpart.go
+++ b/internal/process/coordinator/listpart.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxBases is the number of recent lists that can be the base of a difference. A VM
+	// maxBases is the number of recent lists that can be the base of a diff. A VM
 	// that has an older one is sent the full list.
 	maxBases = 32
 	// maxPartAge is how long an encoded list is reused. It is short because the times in a
@@ -23,8 +23,8 @@
 	maxPartBytes = 16 << 20
 )
 
-// listPart is a part of the state of which a VM is sent the difference to the list that
-// it has. Encoded differences are shared by all VMs that have the same list.
+// listPart is a list in the leader's state. A VM is sent only a diff against the list that
+// it has. Encoded diffs are shared by all VMs that have the same list.
 type listPart[T any] struct {
 	current T
 	digest  uint64
@@ -32,7 +32,7 @@
 	// their digests, the oldest first.
 	bases     map[uint64]T
 	baseOrder []uint64
-	// encoded are the encoded differences by the digest of their base. They are no older
+	// encoded are the encoded diffs by the digest of their base. They are no older
 	// than encodedAt.
 	encoded   map[uint64]*peerv1.Part
 	encodedAt time.Time
@@ -63,14 +63,14 @@
 	clear(p.encoded)
 }
 
-// has reports whether the list with a digest can be the base of a difference.
+// has reports whether the list with a digest can be the base of a diff.
 func (p *listPart[T]) has(digest uint64) bool {
 	_, known := p.bases[digest]
 	return known
 }
 
-// since returns the difference for a VM that has the list with the given digest, or the
-// full list if there is no difference to that.
+// since returns the diff for a VM that has the list with the given digest, or the full
+// list if that list is not among the bases.
 func (p *listPart[T]) since(have uint64, now time.Time) *peerv1.Part {
 	if now.Sub(p.encodedAt) > maxPartAge {
 		clear(p.encoded)
--- a/internal/process/coordinator/member.go
+++ b/internal/process/coordinator/member.go
@@ -20,8 +20,8 @@
 	// reportEvery is the interval of a VM's reports to the leader. The leader answers
 	// each with a heartbeat.
 	reportEvery = 250 * time.Millisecond
-	// largeFleet is the number of VMs above which reports are half as frequent and
-	// details are sent less often.
+	// largeFleet is the number of VMs above which reports are half as frequent, and the
+	// owners of keys and the list of VMs are sent less often.
 	largeFleet = 40
 	// queryTimeout bounds a query to another VM.
 	queryTimeout = 250 * time.Millisecond
@@ -132,8 +132,8 @@
 		c.haveVersions.Targets = state.Versions.Targets
 		view.Targets, view.Evacuated = applyTargets(targets, baseOf(state.Targets, view.Targets), now)
 		if state.Targets.Base == 0 {
-			// The leader sends owners of keys, and whole lists to other VMs, only
-			// after this report.
+			// The leader sends the owners of keys to this VM, and full lists to
+			// others that wait, only after this report.
 			c.reportAt = now
 		}
 	}
@@ -220,7 +220,7 @@
 	return found
 }
 
-// queryVMs queries up to queryCount VMs whether they receive heartbeats of the leader of
+// queryVMs asks up to queryCount VMs whether they receive heartbeats of the leader of
 // a term, and counts the answers in e.
 func (c *Coordinator) queryVMs(e *evidence, others []string, term uint64) {
 	type answer struct {
--- a/internal/process/coordinator/parts.go
+++ b/internal/process/coordinator/parts.go
@@ -21,7 +21,7 @@
 	largeFleetDetailInterval = 2 * time.Second
 	// sliceVersionInterval is the minimum time between two versions of the slices. maxBases
 	// versions must span more than largeFleetDetailInterval, so that a VM's version is
-	// still a base for differences.
+	// still a base for diffs.
 	sliceVersionInterval = 250 * time.Millisecond
 )
 
@@ -64,7 +64,7 @@
 }
 
 // adoptLists starts from the lists that this VM received from the former leader, under their
-// digests there. Other VMs have the same lists and receive changes as differences to them.
+// digests there. Other VMs have the same lists and receive changes as diffs against them.
 func (p *parts) adoptLists(view *fleet.View, have *peerv1.PartVersions) {
 	if have.Targets != 0 {
 		p.targets.set(targetSet{view.Targets, view.Evacuated}, have.Targets)
--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -10,7 +10,7 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// listLinkTime bounds how long the leader's link is busy with the whole lists of targets
+// listLinkTime bounds how long the leader's link is busy with the full lists of targets
 // that are in flight at once. It is well below heartbeatTimeout, so that no heartbeat is
 // missed behind them.
 const listLinkTime = 100 * time.Millisecond
@@ -28,12 +28,12 @@
 	// term is the term in the VM's last report.
 	term uint64
 	// sentVersions are the versions that were last sent; nil until the VM's first report.
-	// detailsSentAt is when the owners of keys or the VMs were last sent.
+	// detailsSentAt is when the owners of keys or the list of VMs were last sent.
 	sentVersions  *peerv1.PartVersions
 	deliveries    deliveries
 	detailsSentAt time.Time
-	// awaitsTargets is set while the VM needs the whole list of targets and the link is
-	// busy with the lists of others. wholeListSentAt is when the whole list was sent; zero
+	// awaitsTargets is set while the VM needs the full list of targets and the link is
+	// busy with the lists of others. wholeListSentAt is when the full list was sent; zero
 	// once the VM has reported it.
 	awaitsTargets  bool
 	fullListSentAt time.Time
@@ -99,7 +99,7 @@
 	c.config.Sender.Send(m.VM, &peerv1.Control{Kind: &peerv1.Control_FleetState{FleetState: state}})
 }
 
-// currentRepeats returns the retry-budget counters, at most partAge old.
+// currentRepeats returns the retry-budget counters, at most maxPartAge old.
 func (c *Coordinator) currentRepeats(now time.Time) []*peerv1.ServiceRepeats {
 	l := c.lead
 	if now.Sub(l.repeatsAt) > maxPartAge {
@@ -140,7 +140,7 @@
 	}
 }
 
-// reserveListTurn reports whether a whole list of targets, of a size in bytes, may be
+// reserveListTurn reports whether a full list of targets, of a size in bytes, may be
 // sent to a VM now, and if so records that it is. When a whole fleet starts at once,
 // heartbeats must not queue behind the lists, so these occupy the link for listLinkTime
 // at most.
@@ -170,7 +170,8 @@
 	}
 }
 
-// detailPause returns the least time between two sendings of details to one VM.
+// detailPause returns the minimum time between two messages to one VM with the owners of
+// keys or the list of VMs.
 func (c *Coordinator) detailPause() time.Duration {
 	if len(c.lead.members) > largeFleet {
 		return largeFleetDetailInterval
--- a/internal/process/coordinator/target_test.go
+++ b/internal/process/coordinator/target_test.go
@@ -293,7 +293,7 @@
 	}
 }
 
-// heldKeys returns which of the sampled keys are held by a running target.
+// heldKeys returns which of the checked keys are held by a running target.
 func (w *world) heldKeys() (held [checkedKeys]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -305,7 +305,7 @@
 	return held
 }
 
-// heldCount returns how many of the sampled keys are held by a running target.
+// heldCount returns how many of the checked keys are held by a running target.
 func (w *world) heldCount() int {
 	count := 0
 	for _, held := range w.heldKeys() {
--- a/internal/process/coordinator/wire.go
+++ b/internal/process/coordinator/wire.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// applyTargets applies a diff to former, its base, and returns the targets and the
+// applyTargets applies a diff to base and returns the targets and the
 // evacuated failure domains.
 func applyTargets(list *peerv1.TargetList, base map[string]*fleet.Target, now time.Time) (map[string]*fleet.Target, map[string]bool) {
 	targets := make(map[string]*fleet.Target, len(base)+len(list.Targets))
@@ -110,7 +110,7 @@
 	return a.First == b.First && a.Last == b.Last && a.Owner == b.Owner && a.Ready == b.Ready
 }
 
-// applySlices applies a diff to former, its base, and returns the slices by service.
+// applySlices applies a diff to base and returns the slices by service.
 func applySlices(list *peerv1.SliceList, base sliceSet) sliceSet {
 	services := maps.Clone(base)
 	if services == nil {
@@ -125,7 +125,7 @@
 	return services
 }
 
-// applyService applies the diff of one service to former, its base.
+// applyService applies the diff of one service to base.
 func applyService(difference *peerv1.ServiceSlices, base []fleet.Slice) []fleet.Slice {
 	replaced := make(map[uint16]bool, len(difference.Slices)+len(difference.Removed))
 	for _, first := range difference.Removed {
@@ -168,7 +168,7 @@
 	return list
 }
 
-// applyMembers applies a diff to former, its base, and returns the VMs and brokers.
+// applyMembers applies a diff to base and returns the VMs and brokers.
 func applyMembers(list *peerv1.MemberList, base memberSet) memberSet {
 	updated := memberSet{maps.Clone(base.members), maps.Clone(base.brokers)}
 	if updated.members == nil {
--- a/internal/process/coordinator/world_test.go
+++ b/internal/process/coordinator/world_test.go
@@ -68,7 +68,7 @@
 	// dropTargets is the number of messages with targets to drop from now on, as if
 	// their session were lost.
 	dropTargets int
-	// fullLists counts the lists of targets, slices and members that were sent whole
+	// fullLists counts the lists of targets, slices and members that were sent in full
 	// instead of as a diff.
 	fullLists int
 	// calls is the last number given to a call, message or incarnation; pendingCalls
--- a/internal/version/fleet/view.go
+++ b/internal/version/fleet/view.go
@@ -9,8 +9,9 @@
 // Keys is the number of keys of a keyed service.
 const Keys = 65536
 
-// Life identifies one process of a target. When a target restarts under its name, the
-// new life holds none of the keys of the former one.
+// Life identifies one incarnation of a target, that is one run of its process. When a
+// target restarts under its name, the new incarnation holds none of the keys of the
+// former one.
 type Life struct {
 	// ID is the target's name.
 	ID string `json:"id"`
