--- a/internal/process/observer/observer.go
+++ b/internal/process/observer/observer.go
@@ -35,7 +35,7 @@
 	Config, Targets, Evacuations string
 
 	DecodeConfig func(store.Object) (*fleet.Config, error)
-	// DecodeTarget decodes a target's entry; the time is the present.
+	// DecodeTarget decodes a target's entry; the second argument is the current time.
 	DecodeTarget func(store.Object, time.Time) (*fleet.Target, error)
 	// DecodeEvacuation returns the failure domain that an entry evacuates.
 	DecodeEvacuation func(store.Object) string
@@ -170,8 +170,8 @@
 	o.config.Contact(err)
 }
 
-// Tick marks targets as removed whose entries did not reappear in time, forgets
-// targets that were removed long ago, and reports whether anything changed.
+// Tick marks targets whose entries did not reappear in time as removed, forgets targets
+// after removedRetention, and reports whether anything changed.
 func (o *Observer) Tick(now time.Time) bool {
 	changed := false
 	if len(o.missing) > 0 && !o.outage && now.After(o.reappearUntil) {
@@ -194,7 +194,8 @@
 // Config returns the configuration, or nil if none is known.
 func (o *Observer) Config() *fleet.Config { return o.fleetConfig }
 
-// Targets returns the targets by id, in a map of its own.
+// Targets returns a copy of the map of the targets by ID. The targets themselves are
+// shared and must not be changed.
 func (o *Observer) Targets() map[string]*fleet.Target { return maps.Clone(o.targets) }
 
 // Evacuated returns a copy of the set of evacuated failure domains.
@@ -274,9 +275,9 @@
 	return t
 }
 
-// checkService rejects an entry under a known target's id that names another service,
-// which is not declared: it comes from a faulty writer and does not mean that the
-// target has restarted.
+// checkService rejects an entry under a known target's ID that names another service
+// if that service is not declared: such an entry was written by mistake and does not
+// mean that the target has restarted.
 func (o *Observer) checkService(t *fleet.Target) error {
 	known := o.targets[t.ID]
 	if known == nil || known.Service == t.Service || o.fleetConfig == nil || o.fleetConfig.Service(t.Service) != nil {
@@ -285,8 +286,9 @@
 	return fault.New(fault.Invalid, "the entry is ignored; correct its writer", "target %q belongs to service %q, but its entry names the undeclared service %q", t.ID, known.Service, t.Service)
 }
 
-// handleMissing handles the missing entry of a target. The target counts as removed,
-// during and after an outage only if the entry does not reappear in time.
+// handleMissing handles a target whose entry is missing. The target is marked as removed
+// at once, except during an outage of the store and shortly after: then Tick does so if
+// the entry has not reappeared in time.
 func (o *Observer) handleMissing(id string) {
 	if o.targets[id] == nil || !o.removedAt[id].IsZero() {
 		return
@@ -299,7 +301,7 @@
 	o.markRemoved(id, now)
 }
 
-// markRemoved marks a target as leaving whose entry has been removed. The target is
+// markRemoved marks a target whose entry has been removed as leaving. The target is
 // remembered for a while, since it may still hold keys.
 func (o *Observer) markRemoved(id string, now time.Time) {
 	t := o.targets[id]
--- a/internal/process/permits/desk.go
+++ b/internal/process/permits/desk.go
@@ -28,14 +28,15 @@
 	// first reply before it is sent again: the message may have been lost with its
 	// session.
 	resendAfter = brokerBackoff
-	// aliveCheckInterval is the interval at which a waiting request checks whether its
-	// broker is still alive.
+	// aliveCheckInterval is the interval at which a request that waits for a remote
+	// broker checks whether the broker is still alive.
 	aliveCheckInterval = 100 * time.Millisecond
 	// initialNumberRange is the size of the range from which a process draws its first
 	// request number: large enough that consecutive processes of a VM do not
 	// collide, small enough for a short encoding.
 	initialNumberRange = 1 << 48
-	// tickInterval is the interval at which the brokers of this VM are ticked.
+	// tickInterval is the interval at which the brokers of this VM are ticked while they
+	// have requests.
 	tickInterval = 10 * time.Millisecond
 )
 
@@ -156,16 +157,17 @@
 	}
 }
 
-// needsBroker reports whether a request must wait for a slow broker because only the
-// broker, which must be alive, can permit it: a local decision sends nothing to cold
-// targets, and a change of the owner of a key reaches this VM up to a second after
-// the broker. Repeats do not wait: they are refused while the broker is slow.
+// needsBroker reports whether a request must wait for a broker that is slow but alive,
+// because this VM knows no warm target for it. The broker may still permit it: local
+// decisions send nothing to cold targets, and a change of the owner of a key reaches
+// this VM up to a second later than the broker. Repeats do not wait: they are refused
+// while the broker is slow.
 func (d *Desk) needsBroker(broker string, r *admission.Request) bool {
 	return !r.Repeat && d.config.Alive(broker) && !hasWarmTarget(d.config.View(), r, time.Now())
 }
 
-// hasWarmTarget reports whether a view has a usable target for a request that is
-// not cold.
+// hasWarmTarget reports whether a view has a usable target for a request and that
+// target is not cold.
 func hasWarmTarget(view *fleet.View, r *admission.Request, now time.Time) bool {
 	if view.Config == nil {
 		return false
@@ -213,8 +215,8 @@
 	d.mu.Unlock()
 }
 
-// acquireLocal gets a decision from a broker of this VM; name becomes the broker of
-// the permit.
+// acquireLocal gets a decision from a broker of this VM; brokerName becomes the broker
+// of the permit.
 func (d *Desk) acquireLocal(ctx context.Context, r admission.Request, b *admission.Broker, brokerName string) (Permit, error) {
 	answer := d.register(&r)
 	defer d.unregister(r.ID.Number)
--- a/internal/request/admission/admission.go
+++ b/internal/request/admission/admission.go
@@ -3,8 +3,8 @@
 // A Broker tracks the targets of its services, the requests in flight at them
 // and the requests that wait. It answers every request with a permit for one
 // target or with a refusal, and refuses at once if the request cannot be served
-// in time. The current time is an argument and the package does no I/O, so
-// that tests can simulate any load.
+// in time. Its methods take the current time as an argument, and the package does
+// no I/O, so that tests can simulate any load.
 //
 // It handles bursts above capacity (requests that can still meet their aim run
 // first; those that cannot meet their deadline are refused on arrival), slow
@@ -129,8 +129,10 @@
 // Config configures a Broker.
 type Config struct {
 	Budget Budget
-	// ColdFactor and ColdAllowance bound the requests per second to a cold
-	// target: the service's cold rate * ColdFactor + ColdAllowance.
+	// ColdFactor and ColdAllowance describe the limit on the requests per second
+	// to a cold target: the service's cold rate * ColdFactor + ColdAllowance. The
+	// broker stays below it: it uses a part of the first term and none of the
+	// allowance (see coldLimit).
 	ColdFactor    float64
 	ColdAllowance float64
 	// Serve reports whether this broker decides for a service; nil means that it
--- a/internal/request/admission/choice.go
+++ b/internal/request/admission/choice.go
@@ -245,7 +245,12 @@
 
 // estimateWait returns how long a request would wait in a queue, and whether it should
 // be queued: it should if it meets its aim after the wait, or if it meets its deadline
-// and the utilisation is below overloadUtilisation.
+// and the utilisation is below overloadUtilisation. The utilisation is the demand
+// divided by the work that the slots can do per second.
+//
+// A request that will miss its aim is overtaken by all that can meet theirs (see
+// queue.next). Its wait is therefore that for the whole queue, and it grows with the
+// utilisation, since later requests overtake it too.
 func (p *pool) estimateWait(q *queue, r *Request, now time.Time) (time.Duration, bool) {
 	slots, holdTime := p.capacity(r, now)
 	if slots == 0 {
--- a/internal/request/admission/load_test.go
+++ b/internal/request/admission/load_test.go
@@ -196,8 +196,8 @@
 	assert.Assert(t, toFailing > 0, "the failing target was not tried again")
 }
 
-// TestRepeatsStayWithinTheBudget checks the budget in every window while each request
-// is repeated once.
+// TestRepeatsStayWithinTheBudget checks that the repeats stay within the budget in every
+// window while a repeat is requested for each request.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
 	p := newSimulation(defaultConfig(), fleetOf(fleet.Service{Name: "s"}, 8))
 	for i := range 3000 {
--- a/internal/request/admission/pool.go
+++ b/internal/request/admission/pool.go
@@ -38,8 +38,8 @@
 	// localWaitShare is the share of the spare time before its aim for which a large
 	// request waits for a target in its own failure domain.
 	localWaitShare = 0.5
-	// failurePenalty is how many times its expected time a target that always
-	// fails is charged in addition.
+	// failurePenalty is the cost that is added to a target that always fails, as a
+	// multiple of its expected time.
 	failurePenalty = 5
 	// occupancySlowdown is the relative increase of the service time at a target
 	// whose slots are all in use.
@@ -247,8 +247,8 @@
 	}
 }
 
-// updateFree adds a target to the free list or removes it, after a change of the
-// number of its requests in flight.
+// updateFree adds a target to the free list or removes it from there, depending on
+// whether it has a free slot.
 func (p *pool) updateFree(t *target) {
 	switch free := t.running < t.Slots; {
 	case free && t.freeIndex == notFree:
@@ -262,6 +262,9 @@
 	}
 }
 
+// refuse refuses a request. If the deadline is far enough away, the caller is told to
+// retry within a third of the time that is left, so that it can still retry in time;
+// the delay is never shorter than minRetryAfter.
 func (p *pool) refuse(r *Request, reason Reason, retryAfter time.Duration, now time.Time) {
 	retryAfter = max(retryAfter, minRetryAfter)
 	if third := r.Deadline.Sub(now) / 3; third > minRetryAfter {
--- a/internal/request/admission/simulation_test.go
+++ b/internal/request/admission/simulation_test.go
@@ -13,8 +13,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/version/fleet"
 )
 
-// simulation runs loads on a broker in virtual time. Targets run every request that is
-// permitted: it takes its work times the target's slowness.
+// simulation applies loads to a broker in virtual time. A permitted request always runs
+// at its target, for its work times the target's slowness.
 type simulation struct {
 	broker *admission.Broker
 	view   *fleet.View
--- a/internal/request/admission/target.go
+++ b/internal/request/admission/target.go
@@ -154,7 +154,8 @@
 }
 
 // backOff stops requests to the target for a while after a connection that was not
-// accepted.
+// accepted. The count of failures is limited only to keep the shift from overflowing:
+// maxConnectBackoff is reached before.
 func (t *target) backOff(now time.Time) {
 	t.connectFailures = min(t.connectFailures+1, 6)
 	t.backoffUntil = now.Add(min(connectBackoff<<(t.connectFailures-1), maxConnectBackoff))
--- a/internal/version/keyspace/balance.go
+++ b/internal/version/keyspace/balance.go
@@ -89,6 +89,7 @@
 // that is worth a move.
 func (p *plan) relieve(from, to *ownerState) bool {
 	// Moving this demand makes the two equally utilised; a move must not exceed it.
+	// excess is the demand that from has above the mean, as far as to has room for it.
 	equalising := (from.demand*to.Capacity - to.demand*from.Capacity) / (from.Capacity + to.Capacity)
 	excess := min(from.demand-p.meanUtilisation*from.Capacity, max(fillLevel*p.meanUtilisation*to.Capacity-to.demand, 0))
 	excess = min(max(excess, 0), equalising)
@@ -139,8 +140,8 @@
 }
 
 // moveEnd moves the prefix or the suffix of a piece whose demand comes closest to
-// excess without exceeding it, or the whole piece if its demand is little more. It
-// reports whether it moved anything.
+// excess without exceeding it, or the whole piece if its demand is at most 10 % more
+// and the owner has others. It reports whether it moved anything.
 func (p *plan) moveEnd(i int, excess, minDemand float64, from, to *ownerState) bool {
 	source := p.pieces[i]
 	if source.demand <= excess*1.1 && from.pieceCount > 1 {
--- a/internal/version/keyspace/load.go
+++ b/internal/version/keyspace/load.go
@@ -2,8 +2,7 @@
 //
 // It handles uneven and changing demand: a few busy keys close to one another,
 // a set of hot keys that appears within a second, and targets that join without
-// keys, slow down, leave or fail. It does no input or output and takes the time
-// as an argument.
+// keys, slow down, leave or fail. It does no I/O and takes the time as an argument.
 package keyspace
 
 import (
@@ -54,8 +53,7 @@
 	return float64(sum) + idleKeyDemand*float64(int(last)-int(first)+1)
 }
 
-// excessDemand returns the sum over a range of what the demand of each key exceeds
-// the limit by.
+// excessDemand returns the demand above limit of each key of a range, added up.
 func (l *Load) excessDemand(limit float64, first, last uint16) float64 {
 	sum := 0.0
 	for _, value := range l.keys[first : int(last)+1] {
--- a/internal/version/keyspace/plan.go
+++ b/internal/version/keyspace/plan.go
@@ -184,7 +184,9 @@
 	}
 }
 
-// spread divides a piece without a usable owner among the least utilised owners.
+// spread divides a piece without a usable owner among the least utilised owners. An
+// owner gets all of the rest if that exceeds its room by at most 30 %, which saves a
+// split.
 func (p *plan) spread(rest piece) {
 	for {
 		to := p.coldest.first(nil)
--- a/internal/version/keyspace/plan_test.go
+++ b/internal/version/keyspace/plan_test.go
@@ -372,8 +372,9 @@
 }
 
 // TestGivingEverythingAnewIsQuick checks that the time for assigning all slices at new
-// fences, as a leader does that can vouch for no owner, does not grow with the square of
-// their number. The bound is on the ratio of two measurements, each the best of five.
+// fences, as a leader does that does not know whether the owners still hold their
+// slices, does not grow with the square of their number. The bound is on the ratio of
+// two measurements, each the best of five.
 func TestGivingEverythingAnewIsQuick(t *testing.T) {
 	took := func(count int) time.Duration {
 		var list []fleet.Slice
--- a/internal/version/keyspace/tidy.go
+++ b/internal/version/keyspace/tidy.go
@@ -33,8 +33,8 @@
 	return p.moves
 }
 
-// joinColdRuns joins each run of adjacent slices that have the same owner and little
-// demand.
+// joinColdRuns joins each run of adjacent slices that have the same owner and together
+// a demand of at most joinedFraction of its capacity.
 func (p *plan) joinColdRuns() {
 	for first := 0; first < len(p.pieces); {
 		last := first
