--- a/internal/version/keyspace/tidy.go
+++ b/internal/version/keyspace/tidy.go
@@ -28,14 +28,14 @@
 	if len(p.pieces) <= tidySlicesPerOwner*len(p.owners) {
 		return nil
 	}
-	p.joinColdRuns()
+	p.joinRuns()
 	p.absorb()
 	return p.moves
 }
 
-// joinColdRuns joins each run of adjacent slices that have the same owner and together
+// joinRuns joins each run of adjacent slices that have the same owner and together
 // a demand of at most joinedFraction of its capacity.
-func (p *plan) joinColdRuns() {
+func (p *plan) joinRuns() {
 	for first := 0; first < len(p.pieces); {
 		last := first
 		for last+1 < len(p.pieces) && p.joinable(first, last+1) {
