--- a/internal/connection/caller/conn.go
+++ b/internal/connection/caller/conn.go
@@ -24,7 +24,7 @@
 	discardBytes = 256 << 10
 	// lingerTime is how long a connection that is being closed still reads from the
 	// caller: closing a socket with unread data resets it, and the caller could
-	// lose the response.
+	// lose the response. It also bounds the time to discard an unread body.
 	lingerTime = 300 * time.Millisecond
 	// writeTimeout bounds one write, in case the caller does not read.
 	writeTimeout = 10 * time.Second
@@ -37,7 +37,7 @@
 type conn struct {
 	server *Server
 	socket net.Conn
-	// limiter is what reader reads from: the socket, with a limit for request heads.
+	// limiter limits the size of request heads. reader reads from the socket through it.
 	limiter *headLimiter
 	reader  *bufio.Reader
 	// writer is used by the responses in turn.
@@ -283,8 +283,8 @@
 	return !c.closing
 }
 
-// closeAfterReadError closes the connection after readRequest has failed. It answers
-// an invalid request before.
+// closeAfterReadError closes the connection after readRequest has failed. An invalid
+// request is answered first.
 func (c *conn) closeAfterReadError(err error, turn chan struct{}) {
 	var status int
 	switch {
--- a/internal/connection/target/connection.go
+++ b/internal/connection/target/connection.go
@@ -41,9 +41,10 @@
 	errExtraBytes  = errors.New("the target sent bytes after the end of its answer")
 )
 
-// boundedReader returns an error once it has returned a number of bytes.
+// boundedReader returns errHeadTooLong once it has returned the allowed number of bytes.
 type boundedReader struct {
-	source    io.Reader
+	source io.Reader
+	// remaining is the number of bytes that may still be read.
 	remaining int64
 }
 
--- a/internal/connection/target/exchange.go
+++ b/internal/connection/target/exchange.go
@@ -31,7 +31,8 @@
 type Defect uint8
 
 const (
-	// Broken means that the connection failed or the context ended.
+	// Broken means that the connection failed, the context ended, or the answer could
+	// not be read as HTTP/1.
 	Broken Defect = iota + 1
 	// Mismatched means that the answer was for another request.
 	Mismatched
@@ -67,8 +68,8 @@
 	// request.
 	maxStrayAnswers = 3
 	// maxStrayBodyBytes limits the body of a stray answer that is skipped, in bytes.
-	// Skipping a body beyond the size of the largest answers that are held back takes
-	// more time than the request is worth.
+	// It exceeds the size of the largest answers that are held back until they are
+	// complete; skipping a longer body takes more time than the request is worth.
 	maxStrayBodyBytes = 1 << 20
 )
 
@@ -102,6 +103,8 @@
 	connection *connection
 	requestID  string
 	method     string
+	// stop ends the watch on the context. It returns false if the context has already
+	// ended and the connection is being reset.
 	stop       func() bool
 	sender     *sender
 	finishOnce sync.Once
@@ -168,8 +171,8 @@
 	return !slices.ContainsFunc(ids, func(id string) bool { return id != r.requestID })
 }
 
-// validate returns an error unless the answer is for this request and, if required,
-// its end does not depend on the end of the connection.
+// validate returns an error unless the answer is for this request and, unless
+// PoolOptions.Unframed is set, its end does not depend on the end of the connection.
 func (r *exchangeRun) validate(response *http.Response) (Defect, error) {
 	if response.StatusCode == http.StatusSwitchingProtocols {
 		return Malformed, errUnexpectedSwitch
--- a/internal/connection/target/grantpool.go
+++ b/internal/connection/target/grantpool.go
@@ -43,7 +43,8 @@
 	mu sync.Mutex
 	// granted maps each fence to the connection over which it was granted.
 	granted map[uint64]fenceGrant
-	// nextSlot is the index of the slot that was last chosen while all were in use.
+	// nextSlot is the index of the slot that was chosen last when all were in use; the
+	// next choice begins after it.
 	nextSlot int
 }
 
@@ -55,8 +56,8 @@
 	// connection is nil if none is open. It changes only while the slot is acquired and
 	// GrantPool.mu is held.
 	connection *connection
-	// identityConfirmed is set once the process has accepted an order as addressed to
-	// it, i.e. has answered other than with status 421.
+	// identityConfirmed is set once the process has answered a grant with another status
+	// than 421 (Misdirected Request), i.e. the grant was addressed to this process.
 	identityConfirmed bool
 	// idleTimer closes the connection when it has not been used for some time.
 	idleTimer *time.Timer
@@ -110,8 +111,8 @@
 	defer slot.release()
 	response, err := exchange(ctx, slot.connection, request)
 	if err == nil && slot.identityConfirmed && response.StatusCode == http.StatusMisdirectedRequest {
-		// The process has accepted orders as addressed to it before, so this is the
-		// answer to another one.
+		// An earlier answer has shown that grants on this connection are addressed to the
+		// process, so this cannot be the answer to this grant.
 		err = errMismatchedAnswer
 	}
 	if err != nil {
@@ -249,7 +250,7 @@
 }
 
 // recordGrant records the connection over which a fence was granted. It also removes the
-// fences that are no longer renewed or whose connection is closed.
+// fences that have not been renewed for grantIdleTimeout or whose connection is closed.
 func (p *GrantPool) recordGrant(slot *connectionSlot, fence uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connection/target/grantpool_test.go
+++ b/internal/connection/target/grantpool_test.go
@@ -28,7 +28,7 @@
 type grantTarget struct {
 	server              *httptest.Server
 	grants, connections atomic.Int64
-	// unanswered is the number of next grants that are not answered.
+	// unanswered is how many of the next grants are not answered.
 	unanswered atomic.Int64
 	// closes makes the target close each connection after an answer.
 	closes atomic.Bool
@@ -149,6 +149,8 @@
 	}
 }
 
+// TestSilentOrderHoldsUpNoOther checks that a grant that is not answered does not delay
+// the grants of other fences.
 func TestSilentOrderHoldsUpNoOther(t *testing.T) {
 	g := newGrantTarget(t)
 	pool := target.NewGrantPool(g.address(), time.Second)
@@ -168,6 +170,8 @@
 	assert.Assert(t, <-lost != nil)
 }
 
+// TestGrantsAtOnceShareConnections checks that concurrent grants share the limited number
+// of connections.
 func TestGrantsAtOnceShareConnections(t *testing.T) {
 	g := newGrantTarget(t)
 	pool := target.NewGrantPool(g.address(), time.Second)
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -51,12 +51,12 @@
 	// defaultHeaderBytes bounds a request head while no configuration is known.
 	defaultHeaderBytes = 16 << 10
 	// balancerDelay is how long the load balancer may keep opening connections
-	// after this VM has become unready: it takes two failed health checks, a
-	// second apart.
+	// after this VM has become unready: it stops after two failed health checks,
+	// which are one second apart.
 	balancerDelay = 2500 * time.Millisecond
 	// requestCutoff is the latest time after SIGTERM at which a request may be
-	// accepted although its target may still be executing it when the stop has to
-	// end (such a request counts as LOST in the users' rules).
+	// accepted that could still be running on its target when the stop has to end.
+	// The users' rules count such a request as LOST.
 	requestCutoff = 3 * time.Second
 	// firstRequestWait is how long a stop waits for the first request on a
 	// connection that was opened while this VM still listened.
@@ -168,7 +168,7 @@
 	g.callers = &caller.Server{Handler: g.handler, Limits: g.callerLimits, FirstRequestWait: firstRequestWait}
 }
 
-// dial reports whether a connection to the address can be opened.
+// dial checks that a connection to the address can be opened.
 func dial(ctx context.Context, address string) error {
 	connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -201,8 +201,8 @@
 	return m.Address, ok
 }
 
-// brokerAlive reports whether a broker is alive. All brokers run on the leader, so
-// the VM does not matter.
+// brokerAlive reports whether a broker is alive. All brokers run on the leader, so it
+// ignores the VM and reports whether the leader's heartbeats arrive.
 func (g *Gateway) brokerAlive(string) bool { return g.coordinator.ReceivesHeartbeats() }
 
 func (g *Gateway) publish(view *fleet.View) {
--- a/internal/request/forward/body.go
+++ b/internal/request/forward/body.go
@@ -26,8 +26,8 @@
 	err error
 	// attempt is the number of the latest reader; only that one may read on.
 	attempt int
-	// reading is set while a goroutine reads from the caller; read is signalled when
-	// it is done.
+	// reading is set while a goroutine reads from the caller; readDone is signaled
+	// when the read ends or a new attempt begins.
 	reading  bool
 	readDone sync.Cond
 }
@@ -45,8 +45,9 @@
 type continueWaiter interface{ Awaited() bool }
 
 // readAhead reads the body, as far as it can be kept, until the first attempt
-// begins. A caller's disconnect is noticed only while its connection is read, and a
-// target's slot is not occupied while a slow caller sends.
+// begins. There are two reasons: a caller's disconnect is noticed only while its
+// connection is being read, and a slow caller must not occupy a slot of a target while
+// it sends.
 func (b *replayBody) readAhead() {
 	if body, ok := b.source.(continueWaiter); ok && body.Awaited() {
 		return
--- a/internal/request/forward/deliver.go
+++ b/internal/request/forward/deliver.go
@@ -29,7 +29,8 @@
 	// prefix is the beginning of the body; complete is set if it is the whole body.
 	prefix   []byte
 	complete bool
-	// endOnce makes sure that the permit is given back only once.
+	// endOnce guards the return of the permit, because the deadline and the end of the
+	// body may both give it back.
 	endOnce sync.Once
 }
 
@@ -65,7 +66,7 @@
 	if resp.complete {
 		x.endPermit(permit, resp, x.completeResult(resp))
 	} else {
-		// The deadline frees the target even if the caller does not read.
+		// Gives the permit back at the deadline even if the caller does not read.
 		defer context.AfterFunc(x.ctx, func() { x.endPermit(permit, resp, x.cutResult()) })()
 	}
 	x.writeHeader(resp)
--- a/internal/request/forward/exchange.go
+++ b/internal/request/forward/exchange.go
@@ -33,11 +33,11 @@
 	aim, deadline time.Time
 	body          *replayBody
 
-	// attempts is the number of targets that the request has reached.
+	// attempts counts the attempts that may have reached a target.
 	attempts int
 	// target is the id of the target of the latest permit.
 	target string
-	// exclude holds the ids of the targets that the request has reached.
+	// exclude holds the ids of the targets that the request may have reached.
 	exclude []string
 }
 
@@ -179,7 +179,7 @@
 	return 0, nil
 }
 
-// promisesNotRun reports whether callers take a status as a promise that the request
+// promisesNotRun reports whether callers interpret a status as a promise that the request
 // did not run and never will.
 func promisesNotRun(status int) bool {
 	switch status {
@@ -214,7 +214,7 @@
 var errTargetRefused = errors.New("the target did not run the request")
 
 // failureOutcome returns the outcome of an attempt that failed without a response.
-// expired says that the attempt's context had ended.
+// expired is set if the attempt's context had ended.
 func (x *exchange) failureOutcome(err error, expired bool) outcome {
 	var failed *target.ExchangeError
 	sent := !errors.As(err, &failed) || failed.Sent
@@ -242,7 +242,8 @@
 }
 
 // giveUpWaiting responds to a request whose deadline has passed, or whose caller has
-// left, while it waited for a permit.
+// left, while it waited for a permit. If an earlier attempt may have reached a target,
+// the response does not promise that the request did not run.
 func (x *exchange) giveUpWaiting(mayHaveRun bool, reason string) {
 	if x.r.Context().Err() != nil {
 		x.callerLeft()
@@ -294,7 +295,8 @@
 	x.writeStatus(http.StatusServiceUnavailable, reason)
 }
 
-// respondError responds with an error status of this VM's own.
+// respondError responds with an error status that comes from this VM and not from a
+// target.
 func (x *exchange) respondError(status int, reason string) {
 	x.handler.metrics.failed(reason)
 	x.log(events.RequestFailed).Int("status", status).Str("reason", reason).Send()
@@ -304,7 +306,7 @@
 func (x *exchange) writeStatus(status int, reason string) {
 	x.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(status)
-	// The server notices if the caller has left.
+	// A write error means that the caller has left, which the server handles.
 	_, _ = io.WriteString(x.w, reason+"\n")
 }
 
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -34,7 +34,7 @@
 const eventTimeout = 10 * time.Second
 
 // fixture is a handler in front of some targets. It implements forward.Permits and
-// grants the targets in turn.
+// gives out permits for the targets in turn.
 type fixture struct {
 	address  string
 	inFlight func() int
@@ -54,8 +54,8 @@
 	askedAt time.Time
 }
 
-// Acquire implements forward.Permits. It grants the targets in turn, and none once all
-// are excluded.
+// Acquire implements forward.Permits. It gives out permits for the targets in turn, and
+// refuses once all targets are excluded.
 func (f *fixture) Acquire(ctx context.Context, r admission.Request) (permits.Permit, error) {
 	if f.waiting != nil {
 		f.waiting <- struct{}{}
--- a/internal/request/forward/hostile_test.go
+++ b/internal/request/forward/hostile_test.go
@@ -33,7 +33,7 @@
 	responseExpected bool
 }
 
-// rawTarget follows its script for requests whose id begins with "a". It responds to
+// rawTarget follows its script for requests whose attempt ID begins with "a". It responds to
 // all others as a target without faults does.
 type rawTarget struct {
 	script byteScript
@@ -228,8 +228,9 @@
 }
 
 // TestNothingFollowsAnAnswerThatBreaksOff checks that nothing is written to a caller's
-// connection after a response that breaks off, also if the caller has sent further
-// requests on it: these count as not read.
+// connection after a response that breaks off, even if the caller has pipelined further
+// requests on it: without a response they count as not
+// read.
 func TestNothingFollowsAnAnswerThatBreaksOff(t *testing.T) {
 	long := strings.Repeat("x", 200_000)
 	for name, script := range map[string]byteScript{
--- a/internal/request/forward/pools.go
+++ b/internal/request/forward/pools.go
@@ -29,7 +29,8 @@
 	idleLimits map[string]*target.IdleLimit
 }
 
-// NewPools returns pools whose connections follow the form.
+// NewPools returns pools with the given options. IdleLimit is ignored, as each service
+// gets one of its own.
 func NewPools(form target.PoolOptions) *Pools {
 	return &Pools{form: form, pools: map[fleet.Life]*target.Pool{}, idleLimits: map[string]*target.IdleLimit{}}
 }
@@ -65,7 +66,8 @@
 	return pool.Reserve(ctx)
 }
 
-// formOf returns the form for the targets of a service. The lock must be held.
+// formOf returns the options for the targets of a service, which share an IdleLimit. The
+// lock must be held.
 func (p *Pools) formOf(service string) target.PoolOptions {
 	if p.idleLimits[service] == nil {
 		p.idleLimits[service] = &target.IdleLimit{}
