--- a/internal/connection/caller/conn.go
+++ b/internal/connection/caller/conn.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// readBuffer and writeBuffer are the buffer sizes of a connection, in bytes.
-	readBuffer  = 4 << 10
-	writeBuffer = 4 << 10
+	// readBufferBytes and writeBuffer are the buffer sizes of a connection, in bytes.
+	readBufferBytes  = 4 << 10
+	writeBufferBytes = 4 << 10
 	// maxPipelined bounds the requests in flight on one connection.
 	maxPipelined = 16
 	// discardBytes bounds how much of an unread body is discarded in order to reuse
@@ -70,8 +70,8 @@
 
 func newConn(s *Server, socket net.Conn) *conn {
 	c := &conn{server: s, socket: socket, limiter: &headLimiter{source: socket}}
-	c.reader = bufio.NewReaderSize(c.limiter, readBuffer)
-	c.writer = bufio.NewWriterSize(socket, writeBuffer)
+	c.reader = bufio.NewReaderSize(c.limiter, readBufferBytes)
+	c.writer = bufio.NewWriterSize(socket, writeBufferBytes)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.slotFreed = sync.NewCond(&c.mu)
 	return c
--- a/internal/connection/caller/request.go
+++ b/internal/connection/caller/request.go
@@ -24,7 +24,7 @@
 
 // setLimit allows a head of the given size. The read buffer is added because the reader
 // may read beyond the head.
-func (l *headLimiter) setLimit(bytes int) { l.limited, l.remaining = true, bytes+readBuffer }
+func (l *headLimiter) setLimit(bytes int) { l.limited, l.remaining = true, bytes+readBufferBytes }
 
 func (l *headLimiter) removeLimit() { l.limited = false }
 
@@ -50,7 +50,7 @@
 	// expectsContinue is set while the caller waits for 100 Continue before it sends the
 	// body.
 	expectsContinue bool
-	once            sync.Once
+	doneOnce        sync.Once
 	// done is closed when the body has been read or given up.
 	done chan struct{}
 
@@ -131,7 +131,7 @@
 // Close implements io.Closer. It leaves the connection open.
 func (b *callerBody) Close() error { return nil }
 
-func (b *callerBody) signalDone() { b.once.Do(func() { close(b.done) }) }
+func (b *callerBody) signalDone() { b.doneOnce.Do(func() { close(b.done) }) }
 
 // finish is called after the response. It discards the rest of the body; if that is
 // too long or does not arrive in time, the connection will be closed.
--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// acceptRetry is the pause after a failed accept, e.g. when the process has run
+	// acceptRetryDelay is the pause after a failed accept, e.g. when the process has run
 	// out of file descriptors.
-	acceptRetry = 20 * time.Millisecond
-	// shutdownPoll is the interval at which Shutdown checks for open connections.
-	shutdownPoll = 10 * time.Millisecond
+	acceptRetryDelay = 20 * time.Millisecond
+	// shutdownPollInterval is the interval at which Shutdown checks for open connections.
+	shutdownPollInterval = 10 * time.Millisecond
 )
 
 // Limits bound the size of a caller's request heads and the time to send them.
@@ -87,7 +87,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return errors.Annotate(err, "the listener for callers was closed; restart the daemon")
 		}
-		time.Sleep(acceptRetry)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
@@ -124,7 +124,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(shutdownPoll):
+		case <-time.After(shutdownPollInterval):
 		}
 	}
 }
--- a/internal/request/forward/exchange.go
+++ b/internal/request/forward/exchange.go
@@ -244,12 +244,12 @@
 // giveUpWaiting responds to a request whose deadline has passed, or whose caller has
 // left, while it waited for a permit. If an earlier attempt may have reached a target,
 // the response does not promise that the request did not run.
-func (x *exchange) giveUpWaiting(mayHaveRun bool, reason string) {
+func (x *exchange) giveUpWaiting(mayHaveArrived bool, reason string) {
 	if x.r.Context().Err() != nil {
 		x.callerLeft()
 		return
 	}
-	if mayHaveRun {
+	if mayHaveArrived {
 		x.respondError(http.StatusGatewayTimeout, reason)
 		return
 	}
--- a/internal/request/forward/pools.go
+++ b/internal/request/forward/pools.go
@@ -21,7 +21,7 @@
 
 // Pools holds a pool of connections for each incarnation of a target.
 type Pools struct {
-	form target.PoolOptions
+	options target.PoolOptions
 
 	mu    sync.Mutex
 	pools map[fleet.Life]*target.Pool
@@ -31,8 +31,8 @@
 
 // NewPools returns pools with the given options. IdleLimit is ignored, as each service
 // gets one of its own.
-func NewPools(form target.PoolOptions) *Pools {
-	return &Pools{form: form, pools: map[fleet.Life]*target.Pool{}, idleLimits: map[string]*target.IdleLimit{}}
+func NewPools(options target.PoolOptions) *Pools {
+	return &Pools{options: options, pools: map[fleet.Life]*target.Pool{}, idleLimits: map[string]*target.IdleLimit{}}
 }
 
 // Run closes idle connections that can no longer be used, until the context ends.
@@ -59,22 +59,22 @@
 	p.mu.Lock()
 	pool := p.pools[t.Life]
 	if pool == nil || pool.Address() != t.Address {
-		pool = target.NewPoolWithOptions(t.Address, connectionsPerTarget, p.formOf(t.Service))
+		pool = target.NewPoolWithOptions(t.Address, connectionsPerTarget, p.optionsOf(t.Service))
 		p.pools[t.Life] = pool
 	}
 	p.mu.Unlock()
 	return pool.Reserve(ctx)
 }
 
-// formOf returns the options for the targets of a service, which share an IdleLimit. The
+// optionsOf returns the options for the targets of a service, which share an IdleLimit. The
 // lock must be held.
-func (p *Pools) formOf(service string) target.PoolOptions {
+func (p *Pools) optionsOf(service string) target.PoolOptions {
 	if p.idleLimits[service] == nil {
 		p.idleLimits[service] = &target.IdleLimit{}
 	}
-	form := p.form
-	form.IdleLimit = p.idleLimits[service]
-	return form
+	options := p.options
+	options.IdleLimit = p.idleLimits[service]
+	return options
 }
 
 // Update closes the pools of targets that have been removed or restarted.
