--- a/internal/connection/caller/conn.go
+++ b/internal/connection/caller/conn.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// readBufferBytes and writeBuffer are the buffer sizes of a connection, in bytes.
+	// readBufferBytes and writeBufferBytes are the buffer sizes of a connection, in bytes.
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 4 << 10
 	// maxPipelined bounds the requests in flight on one connection.
--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a failed accept, e.g. when the process has run
-	// out of file descriptors.
+	// acceptRetryDelay is the pause after a failed accept, e.g. when the process has
+	// run out of file descriptors.
 	acceptRetryDelay = 20 * time.Millisecond
 	// shutdownPollInterval is the interval at which Shutdown checks for open connections.
 	shutdownPollInterval = 10 * time.Millisecond
--- a/internal/connection/target/stray_test.go
+++ b/internal/connection/target/stray_test.go
@@ -18,6 +18,9 @@
 // TestEarlierRefusalIsNoAnswer checks that a duplicated refusal of an earlier request is
 // never taken for the answer to the next request, whenever it arrives.
 func TestEarlierRefusalIsNoAnswer(t *testing.T) {
+	// moments holds the bytes that the target sends directly after its answer to the
+	// earlier request, while the connection is idle, and before its answer to the next
+	// request in two parts.
 	type moments struct{ glued, idle, before, between string }
 	for _, status := range []string{"408 Request Timeout", "421 Misdirected Request", "429 Too Many Requests", "503 Service Unavailable"} {
 		for name, id := range map[string]string{"of the last": target.HeaderRequestID + ": a\r\n", "of another": target.HeaderRequestID + ": x\r\n", "without id": ""} {
--- a/internal/request/forward/hostile_test.go
+++ b/internal/request/forward/hostile_test.go
@@ -229,8 +229,7 @@
 
 // TestNothingFollowsAnAnswerThatBreaksOff checks that nothing is written to a caller's
 // connection after a response that breaks off, even if the caller has pipelined further
-// requests on it: without a response they count as not
-// read.
+// requests on it: without a response they count as not read.
 func TestNothingFollowsAnAnswerThatBreaksOff(t *testing.T) {
 	long := strings.Repeat("x", 200_000)
 	for name, script := range map[string]byteScript{
