--- a/internal/request/forward/hostile_test.go
+++ b/internal/request/forward/hostile_test.go
@@ -108,7 +108,7 @@
 	chunked := strings.Replace(refusal, "Content-Length: 4\r\n\r\nfull", "Transfer-Encoding: chunked\r\n\r\n", 1)
 	status := func(text, status string) string { return strings.Replace(text, "200 OK", status, 1) }
 	old := func(text string) string { return strings.Replace(text, "HTTP/1.1", "HTTP/1.0", 1) }
-	const oneMore = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+	const informational = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 	all := map[string]byteScript{
 		"earlier refusal before the body":        {beforeBody: earlier, afterBody: own, keepOpen: true, responseExpected: true},
 		"earlier refusal after a continue":       {beforeBody: "HTTP/1.1 100 Continue\r\n\r\n" + earlier, afterBody: own, keepOpen: true, responseExpected: true},
@@ -142,9 +142,9 @@
 		"redirect without end":                   {afterBody: status(responseHead("a1"), "302 Found") + "Location: /x\r\n\r\n", repeated: "more"},
 		"no content, and bytes without end":      {afterBody: status(responseHead("a1"), "204 No Content") + "\r\n", repeated: "more"},
 		"not modified, and bytes without end":    {afterBody: status(responseHead("a1"), "304 Not Modified") + "\r\n", repeated: "more"},
-		"informational heads, then the answer":   {afterBody: strings.Repeat(oneMore, 200) + own, keepOpen: true, responseExpected: true},
-		"informational heads without end":        {afterBody: "", repeated: oneMore},
-		"informational heads, then the end":      {afterBody: strings.Repeat(oneMore, 20)},
+		"informational heads, then the answer":   {afterBody: strings.Repeat(informational, 200) + own, keepOpen: true, responseExpected: true},
+		"informational heads without end":        {afterBody: "", repeated: informational},
+		"informational heads, then the end":      {afterBody: strings.Repeat(informational, 20)},
 		"informational refusal":                  {afterBody: "HTTP/1.1 103 Early Hints\r\nAttempt-Id: a1\r\nNot-Executed: 1\r\n\r\n"},
 		"no seal":                                {afterBody: "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\n\r\n"},
 		"no seal, with a length":                 {afterBody: "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nContent-Length: 0\r\n\r\n", keepOpen: true},
