--- a/internal/request/forward/hostile_test.go
+++ b/internal/request/forward/hostile_test.go
@@ -107,7 +107,7 @@
 	own, earlier, refusal := completeResponse("t0", "a1"), refusalResponse("earlier"), refusalResponse("a1")
 	chunked := strings.Replace(refusal, "Content-Length: 4\r\n\r\nfull", "Transfer-Encoding: chunked\r\n\r\n", 1)
 	status := func(text, status string) string { return strings.Replace(text, "200 OK", status, 1) }
-	old := func(text string) string { return strings.Replace(text, "HTTP/1.1", "HTTP/1.0", 1) }
+	asHTTP10 := func(text string) string { return strings.Replace(text, "HTTP/1.1", "HTTP/1.0", 1) }
 	const informational = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 	all := map[string]byteScript{
 		"earlier refusal before the body":        {beforeBody: earlier, afterBody: own, keepOpen: true, responseExpected: true},
@@ -119,7 +119,7 @@
 		"earlier refusal, then the end":          {beforeBody: earlier},
 		"earlier refusal, then a reset":          {beforeBody: earlier, reset: true},
 		"earlier refusal without id":             {beforeBody: strings.Replace(earlier, "Attempt-Id: earlier\r\n", "", 1), afterBody: own, keepOpen: true, responseExpected: true},
-		"earlier refusal of HTTP/1.0":            {beforeBody: old(earlier), afterBody: own, keepOpen: true},
+		"earlier refusal of HTTP/1.0":            {beforeBody: asHTTP10(earlier), afterBody: own, keepOpen: true},
 		"earlier refusal without length":         {beforeBody: strings.Replace(earlier, "Content-Length: 4\r\n", "", 1), afterBody: own, keepOpen: true},
 		"earlier refusal without end":            {beforeBody: strings.Replace(earlier, "Content-Length: 4\r\n\r\nfull", "\r\n", 1), repeated: "full"},
 		"earlier chunked refusal, cut":           {beforeBody: strings.Replace(chunked, "a1", "earlier", 1) + "4\r\nfu", afterBody: own, keepOpen: true},
@@ -131,8 +131,8 @@
 		"refusal, chunked and cut":               {afterBody: chunked + "4\r\nfu", notRun: true},
 		"refusal, chunked and without end":       {afterBody: chunked, repeated: "4\r\nfull\r\n", notRun: true},
 		"refusal without end":                    {afterBody: strings.Replace(refusal, "Content-Length: 4\r\n", "", 1), repeated: "full", notRun: true},
-		"refusal of HTTP/1.0":                    {afterBody: old(refusal), notRun: true},
-		"refusal of HTTP/1.0 without length":     {afterBody: old(strings.Replace(refusal, "Content-Length: 4\r\n", "", 1)), notRun: true},
+		"refusal of HTTP/1.0":                    {afterBody: asHTTP10(refusal), notRun: true},
+		"refusal of HTTP/1.0 without length":     {afterBody: asHTTP10(strings.Replace(refusal, "Content-Length: 4\r\n", "", 1)), notRun: true},
 		"refusal, id twice":                      {afterBody: strings.Replace(refusal, "Not-", "attempt-id: a1\r\nNot-", 1), notRun: true},
 		"refusal, two ids":                       {afterBody: strings.Replace(refusal, "Not-", "ATTEMPT-ID: earlier\r\nNot-", 1)},
 		"refusal without its statement":          {afterBody: strings.Replace(refusal, "Not-Executed: 1\r\n", "", 1), keepOpen: true},
@@ -151,7 +151,7 @@
 		"no seal nor content":                    {afterBody: "HTTP/1.1 204 No Content\r\nAttempt-Id: a1\r\n\r\n", keepOpen: true},
 		"an empty seal, in chunks":               {afterBody: "HTTP/1.1 201 Created\r\nAttempt-Id: a1\r\nServer-Seal:\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
 		"chunks, cut":                            {afterBody: responseHead("a1") + "Transfer-Encoding: chunked\r\n\r\n4\r\nansw\r\n"},
-		"chunks of HTTP/1.0, cut":                {afterBody: old(responseHead("a1")) + "Transfer-Encoding: chunked\r\n\r\n4\r\nansw\r\n"},
+		"chunks of HTTP/1.0, cut":                {afterBody: asHTTP10(responseHead("a1")) + "Transfer-Encoding: chunked\r\n\r\n4\r\nansw\r\n"},
 	}
 	for _, at := range []string{"HTTP/1.1", "200 OK", "OK\r", "OK\r\n", "Attempt-", "Attempt-Id:", ": a1", "a1\r", "a1\r\n", "Server-Seal: se", "Content-Length", "Content-Length: 1"} {
 		cut := own[:strings.Index(own, at)+len(at)]
@@ -160,7 +160,7 @@
 		all[fmt.Sprintf("head cut after %q and kept", at)] = byteScript{afterBody: cut, keepOpen: true}
 		all[fmt.Sprintf("head cut after %q, and an earlier refusal", at)] = byteScript{afterBody: cut + earlier}
 		all[fmt.Sprintf("head folded after %q and cut", at)] = byteScript{afterBody: cut + "\r\n "}
-		all[fmt.Sprintf("old head cut after %q", at)] = byteScript{afterBody: old(cut)}
+		all[fmt.Sprintf("old head cut after %q", at)] = byteScript{afterBody: asHTTP10(cut)}
 	}
 	return all
 }
