--- a/internal/connection/peer/batch.go
+++ b/internal/connection/peer/batch.go
@@ -9,8 +9,8 @@
 	"github.com/chestnutcourse/chestnutcourse/internal/process/fault"
 )
 
-// maxQueuedBytes is the maximum number of bytes queued for a stream. Messages above
-// it are refused with errQueueFull; no byte of them is sent.
+// maxQueuedBytes is the maximum number of bytes queued for a stream. A message that
+// would exceed it is refused with errQueueFull; no byte of it is sent.
 const maxQueuedBytes = 8 << 20
 
 var (
@@ -36,7 +36,8 @@
 	// takenEnd is the position after the last byte passed to the connection.
 	takenEnd uint64
 	closed   bool
-	notify   chan struct{}
+	// notify wakes run after a frame was queued or the writer was closed.
+	notify chan struct{}
 }
 
 func newBatchWriter() *batchWriter {
--- a/internal/connection/peer/control.go
+++ b/internal/connection/peer/control.go
@@ -98,8 +98,8 @@
 }
 
 // firstCallRange is the exclusive upper bound of the random first call number of a
-// process. It is large enough that two processes of a VM do not use the same
-// numbers, and small enough for a short varint.
+// process. It is so large that two processes of a VM are very unlikely to use the
+// same numbers, and small enough for a short varint.
 const firstCallRange = 1 << 48
 
 // pendingCalls holds the control calls that wait for a reply, by call number. The
--- a/internal/connection/peer/do.go
+++ b/internal/connection/peer/do.go
@@ -45,7 +45,7 @@
 	return nil, nil, errSessionLeaving
 }
 
-// doLocal serves a request to the own VM without a session.
+// doLocal serves a request to this VM itself, without a session.
 func (t *Transport) doLocal(ctx context.Context, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser, error) {
 	request.Id = t.localID.Add(1)
 	response, out := t.config.Requests.Serve(ctx, t.config.Self, request, body)
--- a/internal/connection/peer/hello.go
+++ b/internal/connection/peer/hello.go
@@ -23,7 +23,8 @@
 // exchangeHello performs the handshake on a new connection: it sends the Hello
 // of this VM and returns the peer described by the Hello it receives. Both sides
 // send before they read, so that a mismatch is reported on both sides. Nothing
-// beyond the peer's Hello is read from the connection.
+// beyond the peer's Hello is read from the connection: the bytes after it belong
+// to yamux.
 func exchangeHello(conn net.Conn, self Peer, deployment string) (Peer, error) {
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return Peer{}, err
--- a/internal/connection/peer/leave.go
+++ b/internal/connection/peer/leave.go
@@ -80,10 +80,11 @@
 	return waits || s.transport.calls.hasCallTo(s.peer.VM)
 }
 
-// checkIdle leaves a session that has been unused for the idle timeout. It closes
-// a leaving session on which nothing is in flight once the peer has acknowledged
-// the Leave, or leaveTimeout has passed. The accepting side uses 1.5 times the
-// idle timeout, so that normally the dialing side acts.
+// checkIdle starts the graceful close (see leave) of a session that has been unused
+// for the idle timeout. It closes a leaving session on which nothing is in flight
+// once the peer has acknowledged the Leave, or leaveTimeout has passed. The
+// accepting side uses 1.5 times the idle timeout, so that normally the dialing
+// side acts.
 func (s *session) checkIdle(at time.Duration) {
 	idle := at - time.Duration(s.usedAt.Load())
 	limit := s.transport.config.IdleTimeout
--- a/internal/connection/peer/lifetime_test.go
+++ b/internal/connection/peer/lifetime_test.go
@@ -78,6 +78,7 @@
 		}
 		for p.stalled.Load() {
 			time.Sleep(time.Millisecond)
+			// An empty write fails once the connection has been closed.
 			if _, err := to.Write(nil); err != nil {
 				return
 			}
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -103,7 +103,8 @@
 // selectLocked chooses between the current session and a new one. If both are
 // usable and lead to the same peer, both sides keep the same session: the one
 // dialed by the VM whose name sorts first, or the earlier one if the same side
-// dialed both. The other is closed gracefully (see session.leave).
+// dialed both. The other is closed gracefully (see session.leave); only one side
+// starts that: the VM whose name sorts first, or the side that dialed both.
 func (l *link) selectLocked(s *session, selfVM string) {
 	current := l.current.Load()
 	if current == nil || current == s || !current.usable() || current.peer != s.peer {
--- a/internal/connection/peer/main_test.go
+++ b/internal/connection/peer/main_test.go
@@ -18,7 +18,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // testTimeout bounds the wait for a condition that must become true. It is
-// generous: it is no check of speed.
+// generous because it is not meant to check speed.
 const testTimeout = 20 * time.Second
 
 // serveFunc is a function used as RequestHandler.
--- a/internal/connection/peer/peer.go
+++ b/internal/connection/peer/peer.go
@@ -68,11 +68,11 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Cause }
 
-// RequestHandler handles requests on the VM of the dispatcher.
+// RequestHandler handles the requests that are sent to the dispatcher of this VM.
 type RequestHandler interface {
 	// Serve handles one request; it runs on a goroutine of its own. body is nil
-	// unless request.BodyFollows. The context ends when the
-	// sender cancels the request or the session is lost. The returned body is sent after the response if
-	// response.BodyFollows, and closed.
+	// unless request.BodyFollows. The context ends when the sender cancels the
+	// request or the session is lost. The returned body is sent after the
+	// response if response.BodyFollows, and closed.
 	Serve(ctx context.Context, from Peer, request *peerv1.Request, body io.Reader) (*peerv1.Response, io.ReadCloser)
 }
--- a/internal/connection/peer/send.go
+++ b/internal/connection/peer/send.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// sendLocal delivers a message to the own VM, and the handler's reply as well.
+// sendLocal delivers a message to this VM itself, and the handler's reply as well.
 func (t *Transport) sendLocal(message *peerv1.Control) {
 	if reply := t.receiveControl(t.config.Self, message); reply != nil {
 		t.receiveControl(t.config.Self, reply)
--- a/internal/connection/peer/serve.go
+++ b/internal/connection/peer/serve.go
@@ -31,7 +31,7 @@
 	defer s.mu.Unlock()
 	_, duplicate := s.serving[request.Id]
 	switch {
-	case s.serving == nil:
+	case s.serving == nil: // the session is closed
 		return refusedResponse(request.Id, outcome.PeerLost)
 	case duplicate:
 		return refusedResponse(request.Id, outcome.BadRequest)
--- a/internal/connection/peer/session.go
+++ b/internal/connection/peer/session.go
@@ -214,7 +214,7 @@
 }
 
 // spawn starts a goroutine that Transport.Close waits for. It may be called only
-// from such a goroutine, so that Close is still waiting.
+// from such a goroutine: Close cannot have returned while that one runs.
 func (s *session) spawn(task func()) {
 	s.transport.tasks.Go(task)
 }
--- a/internal/connection/peer/sessions.go
+++ b/internal/connection/peer/sessions.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// refuseSelf refuses a session of this VM with itself.
+// refuseSelf refuses a peer with the name of this VM, as in a session of this VM
+// with itself.
 func (t *Transport) refuseSelf(peer Peer) error {
 	if peer.VM == t.config.Self.VM {
 		return errSelf
@@ -76,6 +77,7 @@
 		dialed.addSession(peerLink.current.Load(), t.config.Self.VM)
 	}
 	if s.currentState() == sessionClosed {
+		// It may have closed before it was added, when unlink did not find it.
 		t.unlink(s)
 	}
 	events.PeerSessionOpened.Log(&t.config.Logger).Str("vm", s.peer.VM).Str("incarnation", s.peer.Incarnation).Bool("dialed", s.dialed).Send()
--- a/internal/connection/peer/transport.go
+++ b/internal/connection/peer/transport.go
@@ -121,8 +121,8 @@
 			if errors.Is(err, net.ErrClosed) {
 				return errors.Annotate(err, "peer listener was closed; restart the daemon")
 			}
-			// For example too many open files: retry, as connections that close
-			// free some.
+			// Other errors are temporary: for example, a lack of file descriptors
+			// ends when connections are closed.
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -135,8 +135,8 @@
 }
 
 // Close closes the listener, starts the graceful close of all sessions, waits up
-// to closeGrace for the requests in flight, and closes all connections. It returns after all goroutines of
-// the transport have ended.
+// to closeGrace for the requests in flight, and closes all connections. It returns
+// after all goroutines of the transport have ended.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closing = true
@@ -237,8 +237,9 @@
 	})
 }
 
-// startTask adds a goroutine to tasks, which calls tasks.Done when it ends. It
-// reports false once the transport is closing.
+// startTask counts a goroutine that the caller is about to start in tasks; the
+// goroutine calls tasks.Done when it ends. startTask reports false once the
+// transport is closing.
 func (t *Transport) startTask() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/process/store/http.go
+++ b/internal/process/store/http.go
@@ -21,10 +21,10 @@
 	defaultCallTimeout = 5 * time.Second
 	// watchPollWait is how long the store holds one long poll open.
 	watchPollWait = 25 * time.Second
-	// watchGrace is how much longer than watchPoll a long poll may take before the
-	// connection counts as lost.
+	// watchGrace is how much longer than watchPollWait a long poll may take before
+	// the connection counts as lost.
 	watchGrace = 5 * time.Second
-	// maxResponseBytes bounds the memory that a response may take.
+	// maxResponseBytes limits the size of a response, and so the memory that it takes.
 	maxResponseBytes = 256 << 20
 )
 
--- a/internal/process/store/resolve.go
+++ b/internal/process/store/resolve.go
@@ -9,8 +9,8 @@
 // PutResolved writes like Put. If the outcome is unknown, it reads the object back;
 // isOwn reports whether a stored value is the one of this write, which carries an
 // operation id for that purpose. The error is UnknownOutcome if the read failed
-// too, if the write is not visible yet, or if another writer has since replaced
-// the object, which hides whether this write took effect.
+// too, if the write is not visible yet, or if another writer has since replaced or
+// deleted the object, which hides whether this write took effect.
 func PutResolved(ctx context.Context, s Store, name string, value []byte, expected int64, isOwn func(stored []byte) bool) (int64, error) {
 	version, err := s.Put(ctx, name, value, expected)
 	if !fault.Is(err, fault.UnknownOutcome) {
--- a/internal/process/store/store.go
+++ b/internal/process/store/store.go
@@ -49,7 +49,8 @@
 	Watch(ctx context.Context, prefix string, after int64) ([]Object, int64, error)
 }
 
-// Calls holds the number of calls made to a store, by operation.
+// Calls holds the number of calls made to a store, by operation. A watch that waits
+// counts as one call; the HTTP client counts each of its long polls.
 type Calls struct {
 	Get, Put, Delete, List, Watch int64
 }
