--- a/internal/connection/peer/sessions.go
+++ b/internal/connection/peer/sessions.go
@@ -77,7 +77,7 @@
 		dialed.addSession(peerLink.current.Load(), t.config.Self.VM)
 	}
 	if s.currentState() == sessionClosed {
-		// It may have closed before it was added, when unlink did not find it.
+		// The session may have closed before it was added: unlink did not find it then.
 		t.unlink(s)
 	}
 	events.PeerSessionOpened.Log(&t.config.Logger).Str("vm", s.peer.VM).Str("incarnation", s.peer.Incarnation).Bool("dialed", s.dialed).Send()
