--- a/internal/connection/peer/peer.go
+++ b/internal/connection/peer/peer.go
@@ -60,9 +60,9 @@
 // Error describes the failure.
 func (e *SendError) Error() string {
 	if e.Sent {
-		return "session to VM " + e.VM + " was lost with the request under way: " + e.Cause.Error()
+		return "no response from VM " + e.VM + " to a message that it may have received: " + e.Cause.Error()
 	}
-	return "VM " + e.VM + " cannot be reached: " + e.Cause.Error()
+	return "nothing was sent to VM " + e.VM + ": " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
