--- a/internal/process/store/follow.go
+++ b/internal/process/store/follow.go
@@ -32,7 +32,7 @@
 // the context ends. After a failed watch it lists them again, because a store that
 // has dropped its history cannot tell what changed in between.
 func Follow(ctx context.Context, s Store, prefix string, f Follower) {
-	pause := followRetryMin
+	bound := followRetryMin
 	for ctx.Err() == nil {
 		objects, revision, err := s.List(ctx, prefix)
 		if ctx.Err() != nil {
@@ -40,10 +40,10 @@
 		}
 		f.Contact(err)
 		if err != nil {
-			pause = backoff(ctx, pause)
+			bound = backoff(ctx, bound)
 			continue
 		}
-		pause = followRetryMin
+		bound = followRetryMin
 		f.Listed(objects)
 		followChanges(ctx, s, prefix, revision, f)
 		sleepJittered(ctx, relistPause)
