--- a/internal/process/store/follow.go
+++ b/internal/process/store/follow.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// followRetryMin and followRetryMax limit the backoff after failed list calls.
-	// Each pause is random, between half of its bound and the bound, so that
+	// followRetryMin and followRetryMax are the first and the largest bound of the
+	// pause after a failed list call; the bound doubles after each failure. Each
+	// pause is random, between half of its bound and the bound, so that
 	// followers that lost the store together do not all return at once.
 	followRetryMin = 100 * time.Millisecond
 	followRetryMax = 1 * time.Second
@@ -66,7 +67,7 @@
 	}
 }
 
-// backoff pauses for a random time of at most bound and returns the bound of the
+// backoff pauses for a random time (see sleepJittered) and returns the bound of the
 // next pause, which is twice as long, up to followRetryMax.
 func backoff(ctx context.Context, bound time.Duration) time.Duration {
 	sleepJittered(ctx, bound)
