--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -108,7 +108,8 @@
 	return err
 }
 
-// start runs every component until ctx is canceled.
+// start starts every component. They run until ctx is canceled, except those that
+// close ends.
 func (d *Daemon) start(ctx context.Context, group *errgroup.Group) {
 	group.Go(func() error { d.loop.Run(ctx); return nil })
 	group.Go(func() error { return d.transport.Run(ctx) })
--- a/internal/process/daemon/report.go
+++ b/internal/process/daemon/report.go
@@ -38,7 +38,8 @@
 }
 
 // cellReports returns the reports of the cells in which this VM is a partner,
-// without those that have neither held nor arrived rights. It runs on the loop.
+// without those that contain neither held targets nor arrived rights. It runs on
+// the loop.
 func (d *Daemon) cellReports() []cellReport {
 	var reports []cellReport
 	for _, cell := range d.partnerCells {
--- a/internal/process/events/dispatch.go
+++ b/internal/process/events/dispatch.go
@@ -2,7 +2,7 @@
 
 import "github.com/rs/zerolog"
 
-// Events of the dispatcher's traffic side.
+// Events of requests at the dispatcher and of how its targets respond.
 var (
 	DispatchAnswered = register(3001, "dispatch-answered", zerolog.InfoLevel, "A request was sent to its target and answered; logged when decisions are logged.")
 	DispatchRefused  = register(3002, "dispatch-refused", zerolog.WarnLevel, "A request was refused as not run; the reason says why. Logged when decisions are logged.")
--- a/internal/process/events/process.go
+++ b/internal/process/events/process.go
@@ -9,5 +9,5 @@
 	DaemonStopped   = register(1003, "daemon-stopped", zerolog.InfoLevel, "The last request in flight has ended and the daemon exits.")
 	LogLinesDropped = register(1004, "log-lines-dropped", zerolog.WarnLevel, "The log output could not keep up; count is the number of lines dropped since the last event of this kind.")
 	SettingsRead    = register(1005, "settings-read", zerolog.InfoLevel, "The settings file was read again on SIGHUP; changed values take effect at the next start.")
-	SettingsInvalid = register(1006, "settings-invalid", zerolog.WarnLevel, "The settings file is invalid as it is now; the daemon keeps running but could not be started again.")
+	SettingsInvalid = register(1006, "settings-invalid", zerolog.WarnLevel, "The settings file was read again on SIGHUP and is invalid; the daemon keeps running but cannot start again with this file.")
 )
--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -107,7 +107,7 @@
 	Decisions string `json:"decisions,omitempty"`
 }
 
-// Defaults, and the values of Log.Decisions.
+// Defaults, DefaultMaxSmallBody in bytes, and the values of Log.Decisions.
 const (
 	DefaultStoreTimeout  = 2 * time.Second
 	DefaultMaxSmallBody  = 32 << 10
--- a/internal/process/signals/signals.go
+++ b/internal/process/signals/signals.go
@@ -21,8 +21,8 @@
 	HangUp = subscribe(syscall.SIGHUP)
 )
 
-// subscribe returns a channel that receives the signals. It holds one: another one that
-// arrives before the first was read adds no information.
+// subscribe returns a channel that receives the signals. It buffers one signal: another
+// one that arrives before the first is read adds no information.
 func subscribe(which ...os.Signal) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, which...)
