--- a/internal/process/coordinator/push.go
+++ b/internal/process/coordinator/push.go
@@ -33,7 +33,7 @@
 	deliveries    deliveries
 	detailsSentAt time.Time
 	// awaitsTargets is set while the VM needs the full list of targets and the link is
-	// busy with the lists of others. wholeListSentAt is when the full list was sent; zero
+	// busy with the lists of others. fullListSentAt is when the full list was sent; zero
 	// once the VM has reported it.
 	awaitsTargets  bool
 	fullListSentAt time.Time
